--- a/crates/callboard/src/lib.rs
+++ b/crates/callboard/src/lib.rs
@@ -7,10 +7,12 @@
 //! `index` is. `docs/callboard.md` tells the ways that were weighed.
 
 mod bytes;
+mod gap;
 mod node;
 mod proof;
 mod ring;
 
+pub use gap::{Gap, Stats};
 pub use node::Callboard;
 use props::{Form, Index, Micros, Place, Term};
 use serde::{Deserialize, Serialize};
--- a/crates/callboard/src/node.rs
+++ b/crates/callboard/src/node.rs
@@ -3,6 +3,7 @@
 use oorandom::Rand64;
 use props::{Index, MS, Micros, Place, SECOND};
 
+use crate::gap::{Gap, Gaps, Stats};
 use crate::proof::{Contact, Proofs};
 use crate::ring::{Early, Ring};
 use crate::{Effect, Event, Message, Mode, PEERS_MAX, Piece, RING_BYTES_MAX, SMALL_BYTES, Standing};
@@ -105,6 +106,7 @@
     stands: (Standing, Micros),
     /// At a source: when the leader that it follows was last known to hear it.
     contact: Contact,
+    gaps: Gaps,
     now: Micros,
 }
 
@@ -141,6 +143,7 @@
             proofs: Proofs::default(),
             stands: (Standing::Unproved, now),
             contact: Contact::default(),
+            gaps: Gaps::default(),
             now,
         }
     }
@@ -161,6 +164,9 @@
         }
         self.timers(&mut out);
         self.proofs.holds(self.index);
+        if self.mode == Mode::Follower {
+            self.gaps.see(self.now, self.index, self.known);
+        }
         out
     }
 
@@ -185,6 +191,16 @@
         self.contact.at()
     }
 
+    /// For people who look after the system.
+    pub fn stats(&self) -> Stats {
+        self.gaps.stats(self.now, self.index, self.known)
+    }
+
+    /// At a follower: the latest gap that has closed since this was asked last.
+    pub fn closed_gap(&mut self) -> Option<Gap> {
+        self.gaps.closed()
+    }
+
     /// All commands up to here are applied (or, at a source, committed).
     pub fn index(&self) -> Index {
         self.index
@@ -201,6 +217,7 @@
             self.ring.trim(RING_BYTES_MAX);
         }
         if self.asked.as_ref().is_some_and(|asked| self.now >= asked.until) {
+            self.gaps.unanswered += 1;
             self.ask_another(out);
         }
         if self.now >= self.tell_later.0 {
@@ -584,6 +601,7 @@
 
     fn ask(&mut self, from: Place, tries: u32, fresh: bool, out: &mut Vec<Effect>) {
         self.asked = Some(Asked { from, until: self.now + self.wait(tries), tries, fresh, told: 0 });
+        self.gaps.asks += 1;
         out.push(Effect::Send { to: from, message: Message::Want { have: self.index } });
     }
 
--- a/crates/playhouse/src/commands/mod.rs
+++ b/crates/playhouse/src/commands/mod.rs
@@ -42,12 +42,20 @@
     verb: Verb,
 }
 
+/// How a role is served.
+#[derive(Debug, clap::Args)]
+struct Serve {
+    /// Tell metrics at this port of the machine's address, under /metrics.
+    #[arg(long)]
+    metrics: Option<u16>,
+}
+
 #[derive(Debug, Subcommand)]
 enum Verb {
     /// Carry traffic: requests from clients to instances.
-    Foyer,
+    Foyer(Serve),
     /// Serve control: calls of operators and instances, and the ordered log.
-    Prompter,
+    Prompter(Serve),
     /// Check a settings file and an operator's configuration: all faults with their places, or what holds.
     Check(check::Check),
     /// Get, compare and change the configuration in force.
@@ -161,8 +169,8 @@
         Failed::Process(error)
     };
     match verb {
-        Verb::Foyer => foyer::run(settings(Part::Foyer)?).await.map_err(ended),
-        Verb::Prompter => prompter::run(settings(Part::Prompter)?).await.map_err(ended),
+        Verb::Foyer(serve) => foyer::run(settings(Part::Foyer)?, serve.metrics).await.map_err(ended),
+        Verb::Prompter(serve) => prompter::run(settings(Part::Prompter)?, serve.metrics).await.map_err(ended),
         Verb::Check(check) => check.run(),
         Verb::Config(config) => config.run().await,
         Verb::Rollout(rollout) => rollout.run().await,
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -188,6 +188,11 @@
         self.bill.as_ref()
     }
 
+    /// The version of the configuration that requests are routed by; 0 before the first.
+    pub fn version(&self) -> u64 {
+        self.bill.as_ref().map_or(0, |bill| u64::from(bill.version.0))
+    }
+
     /// Whether clients may be sent here. Once it is so it stays so until the process leaves: what is missing
     /// later is missing everywhere. Only the check of intents may withdraw it, where that is on.
     pub fn ready(&self) -> bool {
--- a/crates/playhouse/src/foyer/mod.rs
+++ b/crates/playhouse/src/foyer/mod.rs
@@ -16,6 +16,7 @@
 
 use std::cell::RefCell;
 use std::collections::HashMap;
+use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -29,6 +30,7 @@
 use crate::floor::desk::Seen;
 use crate::floor::{Floor, In, Out};
 use crate::house::{Clock, House, chance};
+use crate::metrics::{self, Measured, Metrics};
 use crate::post::send;
 use crate::settings::{Settings, micros};
 use crate::signals::{Signals, Told as Signal};
@@ -81,7 +83,8 @@
 type Failed = Box<dyn std::error::Error>;
 
 /// Runs until the process is told to end.
-pub async fn run(settings: Rc<Settings>) -> Result<(), Failed> {
+/// `metrics` is the port where they are served, if any.
+pub async fn run(settings: Rc<Settings>, metrics: Option<u16>) -> Result<(), Failed> {
     let clock = Clock::start();
     let frontend = settings.listen_addresses.frontend.ok_or("ListenAddresses.Frontend is missing")?;
     let readiness = settings.listen_addresses.readiness.ok_or("ListenAddresses.Readiness is missing")?;
@@ -104,6 +107,9 @@
         changed: changed.clone(),
     };
     let shared: Shared = Rc::new(RefCell::new(foyer));
+    if let Some(port) = metrics {
+        metrics::spawn(SocketAddrV4::new(settings.ip_address, port), shared.clone());
+    }
     let (stop, stopping) = tokio::sync::watch::channel(false);
     let listener = crate::listen::bind(frontend, 1024)?;
     let crowd: Rc<Crowd> = Rc::default();
@@ -158,6 +164,16 @@
     Ok(())
 }
 
+impl Measured for Foyer {
+    fn metrics(&self) -> Metrics {
+        let mut metrics = Metrics::of(&self.floor.house, self.post.stats());
+        metrics.gauge("configuration_version", "Version requests are routed by", self.floor.version());
+        metrics.gauge("ready", "Whether clients may be sent here", u64::from(self.floor.ready()));
+        metrics.gauge("requests_in_hand", "Requests that are open", self.open.len() as u64);
+        metrics
+    }
+}
+
 impl Foyer {
     fn due(&self) -> Micros {
         self.floor.due().min(self.tidy_due)
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -8,7 +8,7 @@
 use callboard::Callboard;
 use cast::Cast;
 use company::{Company, Member, Part, Standing};
-use props::{Ask, Edition, Form, Index, Micros, Place, Seat};
+use props::{Ask, Edition, Form, Index, MS, Micros, Place, SECOND, Seat};
 use script::{Broken, Outcome, Script};
 use serde::{Deserialize, Serialize};
 
@@ -42,6 +42,8 @@
     }
 }
 
+/// A gap in the ordered news that lasted so long is told of.
+const GAP_TOLD: Micros = SECOND;
 /// Senders and forms of refused words that are told of at most; more are only counted.
 const MOST_TOLD: usize = 128;
 
@@ -158,6 +160,9 @@
     /// At a prompter that leads or knows who does: when a majority was last in touch by what was heard, and whether the
     /// leader is asked if it hears this node.
     touch: Option<(Micros, bool)>,
+    /// For metrics: commands that changed nothing, and members that were declared dead, since the start.
+    not_taken: u64,
+    declared_dead: u64,
     happened: VecDeque<Happened>,
     out: Vec<(Place, Word)>,
 }
@@ -187,6 +192,8 @@
             applied_at: now,
             holds: BTreeMap::new(),
             touch: None,
+            not_taken: 0,
+            declared_dead: 0,
             happened: VecDeque::new(),
             out: Vec::new(),
         };
@@ -244,6 +251,16 @@
         self.refused
     }
 
+    /// Commands applied here that changed nothing, since the start.
+    pub fn not_taken(&self) -> u64 {
+        self.not_taken
+    }
+
+    /// How many times a member was declared dead here.
+    pub fn declared_dead(&self) -> u64 {
+        self.declared_dead
+    }
+
     /// The newest form that both this node and the one at a place read; the oldest while it was not heard.
     pub fn shared(&self, with: Place) -> Form {
         let forms = self.own.edition.forms;
@@ -508,6 +525,7 @@
         if let Outcome::Beyond { form } = outcome {
             return self.give_up(index, format!("form {form} is agreed, this is {}", self.own.edition));
         }
+        self.not_taken += u64::from(outcome != Outcome::Taken);
         self.happened.push_back(Happened::Applied { index, outcome, ask });
     }
 
@@ -536,6 +554,7 @@
                         Standing::Dead | Standing::Left => log::Level::Info,
                         Standing::Alive | Standing::Suspect => log::Level::Debug,
                     };
+                    self.declared_dead += u64::from(standing == Standing::Dead);
                     log::log!(level, "{} ({}) is {standing:?}", member.name, member.place);
                     changed = true;
                 }
@@ -558,6 +577,13 @@
     }
 
     fn board_did(&mut self, now: Micros, effects: Vec<callboard::Effect>) {
+        if let Some(gap) = self.board.closed_gap().filter(|gap| gap.lasted >= GAP_TOLD) {
+            let (index, lasted) = (self.board.index().0, gap.lasted / MS);
+            log::warn!(
+                "behind for {lasted} ms up to entry {index}: {} asks without an answer",
+                gap.unanswered
+            );
+        }
         for effect in effects {
             match effect {
                 callboard::Effect::Send { to, message } => self.send(to, Word::Board(message)),
--- a/crates/playhouse/src/lib.rs
+++ b/crates/playhouse/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod foyer;
 pub mod house;
 mod listen;
+pub mod metrics;
 mod post;
 pub mod prompter;
 pub mod ring;
--- /dev/null
+++ b/crates/playhouse/src/metrics.rs
@@ -0,0 +1,117 @@
+//! Metrics: what a process tells of itself, as the text that Prometheus reads, on a port of its own. The values are read
+//! where they are kept at each request, so that nothing is spent on them in between.
+
+use std::cell::RefCell;
+use std::convert::Infallible;
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use company::Part;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::{Request, Response, StatusCode, header};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use prometheus_client::encoding::text::encode;
+use prometheus_client::metrics::counter::Counter;
+use prometheus_client::metrics::gauge::Gauge;
+use prometheus_client::registry::Registry;
+use wings::PostStats;
+
+use crate::house::House;
+
+const PATH: &str = "/metrics";
+const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// A scraper that sends no request within this is closed.
+const HEAD_WITHIN: Duration = Duration::from_secs(5);
+const BACKLOG: i32 = 8;
+
+/// The metrics of one process, gathered for one answer.
+pub struct Metrics(Registry);
+
+impl Metrics {
+    /// What gateways and control machines have in common.
+    pub fn of(house: &House, post: PostStats) -> Metrics {
+        let mut metrics = Metrics(Registry::with_prefix("garnetdoor"));
+        let news = house.board.stats();
+        metrics.gauge("news_held_index", "Last ordered command held here", news.held.0);
+        metrics.gauge("news_known_index", "Newest ordered command heard of", news.known.0);
+        metrics.counter("news_asks", "Asks for missing commands", news.asks);
+        metrics.counter("news_asks_unanswered", "Asks without an answer in time", news.asks_unanswered);
+        metrics.gauge("news_longest_gap_micros", "Longest time behind", news.longest_gap.max(0) as u64);
+        metrics.counter("commands_not_taken", "Commands that changed nothing", house.not_taken());
+        metrics.counter("words_refused", "Messages of forms not read here", house.refused());
+        metrics.gauge("control_machines_up", "Others, as seen here", house.up(Part::Prompter).len() as u64);
+        metrics.gauge("gateways_up", "Others, as seen here", house.up(Part::Foyer).len() as u64);
+        metrics.counter("members_declared_dead", "Members held dead, in turn", house.declared_dead());
+        metrics.counter("datagrams_sent", "Datagrams given to the system", post.datagrams_sent);
+        metrics.counter("datagrams_refused", "Datagrams not taken by the system", post.datagrams_refused);
+        metrics.counter("datagrams_received", "Datagrams received", post.datagrams_received);
+        metrics.counter("datagrams_dropped", "Datagrams dropped for want of room", post.datagrams_dropped);
+        metrics.counter("stream_messages_sent", "Messages queued for streams", post.stream_messages_sent);
+        metrics
+    }
+
+    pub fn gauge(&mut self, name: &str, help: &str, value: u64) {
+        let gauge: Gauge = Gauge::default();
+        gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
+        self.0.register(name, help, gauge);
+    }
+
+    pub fn counter(&mut self, name: &str, help: &str, value: u64) {
+        let counter: Counter = Counter::default();
+        counter.inc_by(value);
+        self.0.register(name, help, counter);
+    }
+
+    pub fn text(&self) -> String {
+        let mut text = String::new();
+        // Into memory, of plain numbers: there is nothing that could fail.
+        let _ = encode(&mut text, &self.0);
+        text
+    }
+}
+
+/// What can tell metrics of itself.
+pub trait Measured {
+    fn metrics(&self) -> Metrics;
+}
+
+/// Serves metrics at an address, if it can be had; a process without them goes on.
+pub fn spawn<T: Measured + 'static>(at: SocketAddrV4, measured: Rc<RefCell<T>>) {
+    match crate::listen::bind(at, BACKLOG) {
+        Ok(listener) => drop(crate::tasks::spawn_local(serve(listener, measured))),
+        Err(error) => log::warn!("no metrics at {at}: {error}"),
+    }
+}
+
+async fn serve<T: Measured + 'static>(listener: tokio::net::TcpListener, measured: Rc<RefCell<T>>) {
+    loop {
+        let stream = crate::listen::accept(&listener).await;
+        let measured = measured.clone();
+        crate::tasks::spawn_local(async move {
+            let service = hyper::service::service_fn(|request: Request<Incoming>| {
+                let answer = answer(request.uri().path(), &*measured);
+                async move { Ok::<_, Infallible>(answer) }
+            });
+            let _ = hyper::server::conn::http1::Builder::new()
+                .timer(TokioTimer::new())
+                .header_read_timeout(HEAD_WITHIN)
+                .serve_connection(TokioIo::new(stream), service)
+                .await;
+        });
+    }
+}
+
+fn answer<T: Measured>(path: &str, measured: &RefCell<T>) -> Response<Full<Bytes>> {
+    if path != PATH {
+        let mut answer = Response::new(Full::default());
+        *answer.status_mut() = StatusCode::NOT_FOUND;
+        return answer;
+    }
+    let text = measured.borrow().metrics().text();
+    let mut answer = Response::new(Full::new(Bytes::from(text)));
+    answer.headers_mut().insert(header::CONTENT_TYPE, header::HeaderValue::from_static(CONTENT_TYPE));
+    answer
+}
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -3,6 +3,7 @@
 
 use std::cell::RefCell;
 use std::collections::HashMap;
+use std::net::SocketAddrV4;
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,6 +26,7 @@
 use crate::commands::view::{Disk, view};
 use crate::control::{Control, In, Out, Told};
 use crate::house::{Clock, House, chance};
+use crate::metrics::{self, Measured, Metrics};
 use crate::post::send;
 use crate::ring;
 use crate::settings::{Settings, micros};
@@ -68,7 +70,8 @@
 type Failed = Box<dyn std::error::Error>;
 
 /// Runs until the process is told to end.
-pub async fn run(settings: Rc<Settings>) -> Result<(), Failed> {
+/// `metrics` is the port where they are served, if any.
+pub async fn run(settings: Rc<Settings>, metrics: Option<u16>) -> Result<(), Failed> {
     let clock = Clock::start();
     let at = settings.listen_addresses.control.ok_or("ListenAddresses.Control is missing")?;
     let dir = settings.data_directory.clone().ok_or("DataDirectory is missing")?;
@@ -113,6 +116,9 @@
     };
     prompter.carry(out);
     let shared: Shared = Rc::new(RefCell::new(prompter));
+    if let Some(port) = metrics {
+        metrics::spawn(SocketAddrV4::new(settings.ip_address, port), shared.clone());
+    }
     crate::tasks::spawn_local(serve(crate::listen::bind(at, 512)?, shared.clone()));
     let mut signals = Signals::start()?;
     log::info!("prompter {seat} at {at}");
@@ -171,6 +177,15 @@
     Ok(())
 }
 
+impl Measured for Prompter {
+    fn metrics(&self) -> Metrics {
+        let mut metrics = Metrics::of(&self.control.house, self.post.stats());
+        metrics.gauge("leads", "Whether this machine leads", u64::from(self.control.book().leads()));
+        metrics.gauge("calls_waiting", "Calls without an answer yet", self.asks.len() as u64);
+        metrics
+    }
+}
+
 /// Opens the ledger in `dir`. One that can't be read, or lacks what must be there, is set aside and begun
 /// with a fresh life: this machine is a newcomer then, who is let in again and learns all from the others,
 /// and nothing that its disk promised before is expected of it. `first` draws the life of a first voter, on
--- /dev/null
+++ b/crates/playhouse/tests/metrics.rs
@@ -0,0 +1,62 @@
+//! What a gateway tells of itself while it is behind, and once it has caught up.
+
+use std::net::Ipv4Addr;
+
+use callboard::{Message, Piece};
+use company::{Member, Part};
+use playhouse::house::{House, Word};
+use playhouse::metrics::Metrics;
+use props::{Edition, Index, Life, MS, Place, SECOND};
+use wings::PostStats;
+
+fn place(node: u8) -> Place {
+    Place(Ipv4Addr::new(10, 0, 0, node))
+}
+
+fn text(house: &House) -> String {
+    let post = PostStats { datagrams_sent: 7, datagrams_refused: 2, ..PostStats::default() };
+    Metrics::of(house, post).text()
+}
+
+#[test]
+fn metrics_tell_how_far_behind_a_gateway_is() {
+    let member = |node, part| Member {
+        place: place(node),
+        life: Life(1),
+        part,
+        zone: "z".into(),
+        name: "n".into(),
+        edition: Edition::OWN,
+    };
+    let control = House::start(member(1, Part::Prompter), vec![], SECOND, 1, 0);
+    let mut gateway = House::start(member(9, Part::Foyer), vec![], SECOND, 1, 0);
+    let tell = |gateway: &mut House, now, message| {
+        let letter = control.letter(place(9), Word::Board(message)).expect("of the first form");
+        gateway.received(now, place(1), &letter.to_bytes().expect("it can be written"));
+    };
+    tell(&mut gateway, 0, Message::Have { index: Index(4), weight: 1, fresh: false });
+    // The one who told is asked, and does not answer.
+    gateway.tick(600 * MS);
+    let behind = text(&gateway);
+    for line in [
+        "garnetdoor_news_held_index 0",
+        "garnetdoor_news_known_index 4",
+        "garnetdoor_news_longest_gap_micros 600000",
+        "garnetdoor_news_asks_unanswered_total 1",
+        "garnetdoor_datagrams_sent_total 7",
+        "garnetdoor_datagrams_refused_total 2",
+    ] {
+        assert!(behind.lines().any(|told| told == line), "{line} in\n{behind}");
+    }
+    let piece = Piece { prev: Index(0), index: Index(4), data: vec![0] };
+    tell(&mut gateway, 900 * MS, Message::Pieces { fresh: false, more: false, pieces: vec![piece] });
+    let level = text(&gateway);
+    for line in [
+        "garnetdoor_news_held_index 4",
+        "garnetdoor_news_longest_gap_micros 900000",
+        "garnetdoor_commands_not_taken_total 1",
+    ] {
+        assert!(level.lines().any(|told| told == line), "{line} in\n{level}");
+    }
+    assert!(level.ends_with("# EOF\n"));
+}
--- a/crates/wings/src/incoming.rs
+++ b/crates/wings/src/incoming.rs
@@ -12,6 +12,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::post::PostLimits;
+use crate::stats::Counters;
 
 pub type Arrived = mpsc::Sender<(Ipv4Addr, Vec<u8>)>;
 
@@ -23,14 +24,20 @@
 const BYTE_MICROS: u64 = 10;
 
 /// Hands on datagrams until the receiver is gone; drops them while it is full, and those over `longest`.
-pub(crate) async fn datagrams(socket: Rc<UdpSocket>, arrived: Arrived, longest: usize) {
+pub(crate) async fn datagrams(
+    socket: Rc<UdpSocket>, arrived: Arrived, longest: usize, counters: Rc<Counters>,
+) {
     let mut buffer = vec![0; longest + 1];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, SocketAddr::V4(from))) if length <= longest => {
+                counters.count(|stats| stats.datagrams_received += 1);
                 match arrived.try_send((*from.ip(), buffer[..length].to_vec())) {
                     Ok(()) => {}
-                    Err(mpsc::error::TrySendError::Full(_)) => log::debug!("datagram dropped: queue is full"),
+                    Err(mpsc::error::TrySendError::Full(_)) => {
+                        counters.count(|stats| stats.datagrams_dropped += 1);
+                        log::debug!("datagram dropped: queue is full");
+                    }
                     Err(mpsc::error::TrySendError::Closed(_)) => return,
                 }
             }
--- a/crates/wings/src/lib.rs
+++ b/crates/wings/src/lib.rs
@@ -9,6 +9,7 @@
 mod note;
 mod outgoing;
 mod post;
+mod stats;
 
 use std::net::Ipv4Addr;
 
@@ -21,6 +22,7 @@
 pub use memory_store::{Fault, MemoryStore};
 pub use note::NoteHand;
 pub use post::{Post, PostLimits};
+pub use stats::PostStats;
 
 /// What arrived: the place it came from, and the bytes as they were sent.
 pub type Incoming = mpsc::Receiver<(Ipv4Addr, Vec<u8>)>;
--- a/crates/wings/src/post.rs
+++ b/crates/wings/src/post.rs
@@ -13,6 +13,7 @@
 
 use crate::incoming::{self, Door};
 use crate::outgoing::Outgoing;
+use crate::stats::{Counters, PostStats};
 use crate::{Incoming, Transport};
 
 /// Bounds of a post; sizes in bytes.
@@ -68,6 +69,7 @@
     port: u16,
     limits: PostLimits,
     outgoing: Outgoing,
+    counters: Rc<Counters>,
     listeners: [AbortHandle; 2],
 }
 
@@ -80,14 +82,20 @@
         let socket = Rc::new(UdpSocket::from_std(socket)?);
         let listener = listen(at)?;
         let (arrived, receiver) = mpsc::channel(limits.arrived);
-        let datagrams = incoming::datagrams(socket.clone(), arrived.clone(), limits.datagram);
+        let counters = Rc::new(Counters::default());
+        let datagrams =
+            incoming::datagrams(socket.clone(), arrived.clone(), limits.datagram, counters.clone());
         let door = Door::new(listener, arrived, limits);
         let listeners = [
             tokio::task::spawn_local(datagrams).abort_handle(),
             tokio::task::spawn_local(door.run()).abort_handle(),
         ];
         let outgoing = Outgoing::new(own, port, limits);
-        Ok((Self(Rc::new(Inner { socket, port, limits, outgoing, listeners })), receiver))
+        Ok((Self(Rc::new(Inner { socket, port, limits, outgoing, counters, listeners })), receiver))
+    }
+
+    pub fn stats(&self) -> PostStats {
+        self.0.counters.stats()
     }
 
     /// Sends without waiting: whole and once, or not at all.
@@ -97,10 +105,15 @@
             // Not by way of the runtime, which lets nothing out before it has heard of the socket. A datagram
             // that the system won't take now is dropped like one that the network loses.
             let to = SocketAddrV4::new(to, inner.port);
-            if let Err(error) = SockRef::from(&*inner.socket).send_to(&bytes, &to.into()) {
-                log::debug!("datagram to {to} dropped: {error}");
+            match SockRef::from(&*inner.socket).send_to(&bytes, &to.into()) {
+                Ok(_) => inner.counters.count(|stats| stats.datagrams_sent += 1),
+                Err(error) => {
+                    inner.counters.count(|stats| stats.datagrams_refused += 1);
+                    log::debug!("datagram to {to} dropped: {error}");
+                }
             }
         } else if bytes.len() <= inner.limits.message {
+            inner.counters.count(|stats| stats.stream_messages_sent += 1);
             inner.outgoing.send(to, &bytes);
         } else {
             log::warn!("message of {} bytes to {to} is over the limit", bytes.len());
