--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -258,6 +258,14 @@
     Linger {
         span: u64,
     },
+    /// A foyer's links are full of its clients' traffic: of a thousand datagrams so many are lost on their way to it and
+    /// from it; streams get through, late. No trouble by the rules: it stays in touch.
+    FullLink {
+        foyer: usize,
+        span: u64,
+        inward: u32,
+        outward: u32,
+    },
     /// The links of a machine carry so many thousand bits a second.
     Narrow {
         machine: usize,
@@ -574,6 +582,7 @@
             | What::AckLost { span, .. }
             | What::CoreCut { span, .. }
             | What::Island { span, .. }
+            | What::FullLink { span, .. }
             | What::Narrow { span, .. }
             | What::Sick { span, .. } => *span,
             _ => 0,
--- a/crates/rehearsal/src/world/machine.rs
+++ b/crates/rehearsal/src/world/machine.rs
@@ -63,6 +63,8 @@
     pub kept_before: Option<Vec<u8>>,
     /// Until when its links are narrow, their bytes a second, and when they have carried what was given to them.
     pub narrow: (Micros, u64, Micros),
+    /// Until when its links are full, and how many of a thousand datagrams to it and from it are lost.
+    pub full: (Micros, u32, u32),
     /// The tick that counts.
     pub tick_at: Micros,
     ring: VecDeque<(Micros, String)>,
@@ -144,6 +146,7 @@
             kept: None,
             kept_before: None,
             narrow: (0, 0, 0),
+            full: (0, 0, 0),
             tick_at: Micros::MAX,
             ring: VecDeque::new(),
         });
--- a/crates/rehearsal/src/world/troubles.rs
+++ b/crates/rehearsal/src/world/troubles.rs
@@ -143,6 +143,10 @@
             }
             Do::Planned { machine, after } => self.replace_in_order(machine, ms(after)),
             Do::Linger { span } => self.linger = self.now + ms(span),
+            Do::FullLink { foyer, span, inward, outward } => {
+                let at = self.scenario.prompters + foyer % self.scenario.foyers;
+                self.machines[at].full = (self.now + ms(span), inward, outward);
+            }
             Do::Narrow { machine, span, kbit } => {
                 self.machines[machine].narrow = (self.now + ms(span), kbit * 125, 0);
                 self.saw(What::Links { until: self.now + ms(span) });
