--- a/crates/callboard/src/lib.rs
+++ b/crates/callboard/src/lib.rs
@@ -10,6 +10,7 @@
 mod gap;
 mod node;
 mod proof;
+mod pushes;
 mod ring;
 
 pub use gap::{Gap, Stats};
@@ -114,6 +115,10 @@
         hubs: Vec<Place>,
         others: Vec<Place>,
     },
+    /// Probes of several members failed at once, which tells of this node's own link: it asks what is new more often.
+    Strained {
+        strained: bool,
+    },
     /// How this source stands, as of now.
     Stands {
         standing: Standing,
@@ -127,6 +132,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// Something that this node should have answered was not: what goes there from here on, for a while, should not be
+    /// left to datagrams.
+    Insist {
+        to: Place,
+    },
     Send {
         to: Place,
         message: Message,
--- a/crates/callboard/src/node.rs
+++ b/crates/callboard/src/node.rs
@@ -1,10 +1,13 @@
 //! One node's board: explicit states, and one function for each change of state.
 
+use std::collections::BTreeMap;
+
 use oorandom::Rand64;
 use props::{Index, MS, Micros, Place, SECOND};
 
 use crate::gap::{Gap, Gaps, Stats};
 use crate::proof::{Contact, Proofs};
+use crate::pushes::{Overdue, Pushes};
 use crate::ring::{Early, Ring};
 use crate::{Effect, Event, Message, Mode, PEERS_MAX, Piece, RING_BYTES_MAX, SMALL_BYTES, Standing};
 
@@ -107,6 +110,11 @@
     /// At a source: when the leader that it follows was last known to hear it.
     contact: Contact,
     gaps: Gaps,
+    /// At a source: the followers that have not acknowledged what was pushed to them.
+    unacknowledged: Pushes,
+    /// At a follower: the hubs that pushed a command, to be told once it is held here.
+    acknowledge: BTreeMap<Place, Index>,
+    strained: bool,
     now: Micros,
 }
 
@@ -144,6 +152,9 @@
             stands: (Standing::Unproved, now),
             contact: Contact::default(),
             gaps: Gaps::default(),
+            unacknowledged: Pushes::default(),
+            acknowledge: BTreeMap::new(),
+            strained: false,
             now,
         }
     }
@@ -159,9 +170,11 @@
             Event::Kept { index, data } => self.whole_told(index, data, &mut out),
             Event::Restored { index } => self.restored(index),
             Event::Peers { hubs, others } => self.peers(hubs, others, &mut out),
+            Event::Strained { strained } => self.strained(strained),
             Event::Stands { standing } => self.stands = (standing, self.now),
             Event::Follows { leader } => self.contact.follows(self.now, leader, &mut out),
         }
+        self.acknowledge(&mut out);
         self.timers(&mut out);
         self.proofs.holds(self.index);
         if self.mode == Mode::Follower {
@@ -177,7 +190,7 @@
             Mode::Source => Micros::MAX,
             Mode::Follower => self.proofs.due(&self.hubs),
         };
-        self.next_digest.min(asked).min(self.tell_later.0).min(proofs)
+        self.next_digest.min(asked).min(self.tell_later.0).min(proofs).min(self.unacknowledged.due())
     }
 
     /// Whether what is held here was once known, in this life, to be as new as what a majority had ordered.
@@ -223,6 +236,12 @@
         if self.now >= self.tell_later.0 {
             self.tell_lot(out);
         }
+        for Overdue { place: to, insist } in self.unacknowledged.overdue(self.now) {
+            if insist {
+                out.push(Effect::Insist { to });
+            }
+            self.tell(to, true, out);
+        }
         if self.now >= self.next_digest {
             self.digest(out);
         }
@@ -234,7 +253,7 @@
     /// Tells what is held: a follower to a hub, each in its turn, and to another follower by chance, one after the other
     /// when it is calm and both at once after news; a hub to a follower by chance.
     fn digest(&mut self, out: &mut Vec<Effect>) {
-        let calm = self.now - self.changed > CALM_AFTER && self.index >= self.known;
+        let calm = self.now - self.changed > CALM_AFTER && self.index >= self.known && !self.strained;
         self.next_digest = self.now + if calm { DIGEST_CALM } else { DIGEST_SOON };
         self.digest_hub = !self.digest_hub;
         let (hub, other) = match self.mode {
@@ -248,6 +267,31 @@
         }
     }
 
+    fn strained(&mut self, strained: bool) {
+        if strained && !self.strained {
+            self.next_digest = self.next_digest.min(self.now + DIGEST_SOON);
+        }
+        self.strained = strained;
+    }
+
+    /// Tells hubs that what they pushed is held here.
+    fn acknowledge(&mut self, out: &mut Vec<Effect>) {
+        let held = self.index;
+        let ready = self.acknowledge.iter().filter(|(_, index)| **index <= held).map(|(hub, _)| *hub);
+        for hub in ready.collect::<Vec<Place>>() {
+            self.acknowledge.remove(&hub);
+            self.tell(hub, false, out);
+        }
+    }
+
+    /// A hub has told of a command that was committed just now, and waits to hear that it is held here.
+    fn pushed_by(&mut self, hub: Place, index: Index) {
+        if self.mode == Mode::Follower && self.hubs.contains(&hub) {
+            let wanted = self.acknowledge.entry(hub).or_insert(index);
+            *wanted = index.max(*wanted);
+        }
+    }
+
     /// Each hub that is up once, in an order by chance; then a new order.
     fn next_hub(&mut self) -> Option<Place> {
         if self.turn.is_empty() {
@@ -271,6 +315,8 @@
         let (hubs, others) = (sorted(hubs), sorted(others));
         let new: Vec<Place> = hubs.iter().copied().filter(|hub| !self.hubs.contains(hub)).collect();
         (self.hubs, self.others) = (hubs, others);
+        self.unacknowledged.keep(&self.others);
+        self.acknowledge.retain(|hub, _| self.hubs.contains(hub));
         self.turn.retain(|hub| self.hubs.contains(hub));
         self.turn.extend(&new);
         shuffle(&mut self.rand, &mut self.turn);
@@ -323,6 +369,7 @@
         }
         if piece.data.len() <= SMALL_BYTES {
             for to in share {
+                self.unacknowledged.pushed(self.now, to, index, 0);
                 let message = Message::Pieces { fresh: true, more: false, pieces: vec![piece.clone()] };
                 out.push(Effect::Send { to, message });
             }
@@ -346,7 +393,9 @@
     /// Tells a few of a big command; the next lot hears of it later, when most have it from each other.
     fn tell_lot(&mut self, out: &mut Vec<Effect>) {
         let left = self.tell_later.1.len().saturating_sub(BIG_FANOUT);
+        let transfer = Micros::from(self.ring.weight()) * ASK_BYTE;
         for to in self.tell_later.1.split_off(left) {
+            self.unacknowledged.pushed(self.now, to, self.index, transfer);
             self.tell(to, true, out);
         }
         self.tell_later.0 = if left > 0 { self.now + TELL_LATER } else { Micros::MAX };
@@ -406,6 +455,9 @@
             return;
         }
         let before = self.index;
+        if fresh && let Some(last) = pieces.last() {
+            self.pushed_by(from, last.index);
+        }
         let answer = self.asked.as_ref().is_some_and(|asked| asked.from == from);
         let fresh = fresh || (answer && self.asked.as_ref().is_some_and(|asked| asked.fresh));
         for piece in pieces {
@@ -465,6 +517,10 @@
 
     fn have(&mut self, from: Place, index: Index, weight: u32, fresh: bool, out: &mut Vec<Effect>) {
         self.heard_of(from, index, weight);
+        self.unacknowledged.holds(from, index);
+        if fresh {
+            self.pushed_by(from, index);
+        }
         if index > self.index {
             if self.mode == Mode::Follower && self.asked.is_none() {
                 self.ask(from, 0, fresh, out);
@@ -490,6 +546,7 @@
     }
 
     fn want(&mut self, from: Place, have: Index, out: &mut Vec<Effect>) {
+        self.unacknowledged.holds(from, have);
         if have >= self.index {
             self.heard_of(from, have, 0);
             self.tell(from, false, out);
@@ -625,6 +682,7 @@
         let other = self.tellers.pop().map(|(place, _)| place);
         let other = other.or_else(|| pick(&mut self.rand, &self.hubs));
         if let Some(other) = other.or_else(|| pick(&mut self.rand, &self.others)) {
+            out.push(Effect::Insist { to: other });
             self.ask(other, (asked.tries + 1).min(ASK_TRIES_MAX), asked.fresh, out);
         }
     }
--- /dev/null
+++ b/crates/callboard/src/pushes.rs
@@ -0,0 +1,75 @@
+//! Pushes that wait for an acknowledgement, at a source: who was told of which command and has not shown yet that it
+//! holds it. Guards against a follower that is in touch and hears nothing, as its link is full and datagrams are lost.
+
+use std::collections::BTreeMap;
+
+use props::{Index, MS, Micros, Place, SECOND};
+
+/// A push by datagram should be acknowledged within this, beside what its bytes take.
+const ACKNOWLEDGED: Micros = 200 * MS;
+/// After the first one that was not, it is told again by datagram, since a single one gets lost anywhere; after that by
+/// stream, once in so long.
+const BY_DATAGRAM: u32 = 1;
+const AGAIN: Micros = SECOND;
+/// And not more often than this: by then it is gone, or gets it from others.
+const TIMES: u32 = 6;
+
+#[derive(Clone, Copy, Debug)]
+struct Waiting {
+    index: Index,
+    until: Micros,
+    told_again: u32,
+}
+
+/// A follower that has not acknowledged in time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Overdue {
+    pub place: Place,
+    /// Datagrams were lost more than once.
+    pub insist: bool,
+}
+
+/// The followers that are waited for, bounded by those that are pushed to.
+#[derive(Debug, Default)]
+pub(crate) struct Pushes(BTreeMap<Place, Waiting>);
+
+impl Pushes {
+    /// `to` was told of the command at `index`; what it has to get may take `transfer` beside a word's way.
+    pub fn pushed(&mut self, now: Micros, to: Place, index: Index, transfer: Micros) {
+        let until = now + ACKNOWLEDGED + transfer;
+        let waiting = self.0.entry(to).or_insert(Waiting { index, until, told_again: 0 });
+        waiting.index = waiting.index.max(index);
+    }
+
+    /// A follower has shown that it holds all up to `index`.
+    pub fn holds(&mut self, place: Place, index: Index) {
+        if self.0.get(&place).is_some_and(|waiting| waiting.index <= index) {
+            self.0.remove(&place);
+        }
+    }
+
+    /// Those that are not up any more are not waited for.
+    pub fn keep(&mut self, up: &[Place]) {
+        self.0.retain(|place, _| up.binary_search(place).is_ok());
+    }
+
+    /// Those that are to be told again now.
+    pub fn overdue(&mut self, now: Micros) -> Vec<Overdue> {
+        let mut overdue = Vec::new();
+        self.0.retain(|place, waiting| {
+            if now < waiting.until {
+                return true;
+            }
+            waiting.told_again += 1;
+            let insist = waiting.told_again > BY_DATAGRAM;
+            waiting.until = now + if insist { AGAIN } else { ACKNOWLEDGED };
+            overdue.push(Overdue { place: *place, insist });
+            waiting.told_again < TIMES
+        });
+        overdue
+    }
+
+    pub fn due(&self) -> Micros {
+        self.0.values().map(|waiting| waiting.until).min().unwrap_or(Micros::MAX)
+    }
+}
--- /dev/null
+++ b/crates/callboard/tests/pushes.rs
@@ -0,0 +1,135 @@
+//! A push that is not acknowledged is repeated, by datagram first and then not left to datagrams; an ask that gets no
+//! answer is not left to them either.
+
+use std::net::Ipv4Addr;
+
+use callboard::{Callboard, Effect, Event, Message, Mode, Piece};
+use props::{Index, MS, Micros, Place, SECOND};
+
+const HUB: u8 = 1;
+const FOLLOWERS: [u8; 2] = [8, 9];
+
+fn place(node: u8) -> Place {
+    Place(Ipv4Addr::new(10, 0, 0, node))
+}
+
+fn places(nodes: &[u8]) -> Vec<Place> {
+    nodes.iter().copied().map(place).collect()
+}
+
+fn piece(prev: u64, index: u64) -> Piece {
+    Piece { prev: Index(prev), index: Index(index), data: vec![7; 300] }
+}
+
+fn fresh(piece: Piece) -> Message {
+    Message::Pieces { fresh: true, more: false, pieces: vec![piece] }
+}
+
+fn have(index: u64) -> Message {
+    Message::Have { index: Index(index), weight: 300, fresh: false }
+}
+
+fn received(from: u8, message: Message) -> Event {
+    Event::Received { from: place(from), message }
+}
+
+fn hub() -> Callboard {
+    let mut hub = Callboard::start(place(HUB), Mode::Source, Index(0), 1, 0);
+    hub.step(0, Event::Peers { hubs: places(&[HUB]), others: places(&FOLLOWERS) });
+    hub
+}
+
+/// Runs a board on its own ticks: each moment at which it insists on a node, or tells it of fresh news.
+fn told(board: &mut Callboard, to: Place, from: Micros, until: Micros) -> Vec<(Micros, &'static str)> {
+    let mut told = Vec::new();
+    let mut now = from;
+    while board.due() <= until {
+        now = board.due().max(now);
+        for effect in board.step(now, Event::Tick) {
+            match effect {
+                Effect::Insist { to: other } if other == to => told.push((now, "insist")),
+                Effect::Send { to: other, message: Message::Have { fresh: true, .. } } if other == to => {
+                    told.push((now, "told"));
+                }
+                _ => {}
+            }
+        }
+    }
+    told
+}
+
+#[test]
+fn a_push_without_an_acknowledgement_is_repeated_and_then_not_left_to_datagrams() {
+    let mut hub = hub();
+    hub.step(0, Event::Committed { index: Index(3), data: vec![7; 300] });
+    hub.step(MS, received(8, have(3)));
+    // The one that holds it is let be; the other one hears of it again, by stream from the second time on, for a while.
+    let times = [(200 * MS, "told"), (400 * MS, "insist"), (400 * MS, "told")];
+    let all = told(&mut hub, place(9), MS, 20 * SECOND);
+    assert_eq!(all[..3], times);
+    assert_eq!(all.iter().filter(|(_, what)| *what == "insist").count(), 5);
+    assert!(all.iter().all(|(at, _)| *at < 6 * SECOND), "{all:?}");
+    let mut hub = self::hub();
+    hub.step(0, Event::Committed { index: Index(3), data: vec![7; 300] });
+    for node in FOLLOWERS {
+        hub.step(MS, received(node, have(3)));
+        assert_eq!(told(&mut hub, place(node), MS, 5 * SECOND), []);
+    }
+}
+
+#[test]
+fn an_older_acknowledgement_ends_no_wait_and_who_is_gone_is_not_waited_for() {
+    let mut hub = hub();
+    hub.step(0, Event::Committed { index: Index(3), data: vec![7; 300] });
+    hub.step(MS, Event::Committed { index: Index(5), data: vec![7; 300] });
+    hub.step(2 * MS, received(8, have(3)));
+    hub.step(2 * MS, Event::Peers { hubs: places(&[HUB]), others: places(&[8]) });
+    assert_eq!(told(&mut hub, place(9), 2 * MS, 100 * MS), []);
+    assert_eq!(told(&mut hub, place(8), 100 * MS, 250 * MS), [(200 * MS, "told")]);
+    hub.step(300 * MS, received(8, have(5)));
+    assert_eq!(told(&mut hub, place(8), 300 * MS, SECOND), []);
+    hub.step(SECOND, Event::Committed { index: Index(6), data: vec![7; 300] });
+    hub.step(SECOND, received(8, have(5)));
+    assert_eq!(told(&mut hub, place(8), SECOND, 1_300 * MS)[0], (1_200 * MS, "told"));
+}
+
+#[test]
+fn a_follower_acknowledges_to_its_hub_once_it_holds_what_was_pushed() {
+    let mut board = Callboard::start(place(9), Mode::Follower, Index(0), 1, 0);
+    board.step(0, Event::Peers { hubs: places(&[HUB]), others: places(&[8]) });
+    let acknowledged = |effects: Vec<Effect>| {
+        let ours = effects.into_iter().filter_map(|effect| match effect {
+            Effect::Send { to, message: Message::Have { index, .. } } if to == place(HUB) => Some(index.0),
+            _ => None,
+        });
+        ours.collect::<Vec<u64>>()
+    };
+    // The one before is missing: nothing to acknowledge yet.
+    assert_eq!(acknowledged(board.step(1, received(HUB, fresh(piece(3, 5))))), []);
+    assert_eq!(acknowledged(board.step(2, received(8, fresh(piece(0, 3))))), [5]);
+    // What is told a second time is acknowledged a second time: the first word was lost.
+    let again = Message::Have { index: Index(5), weight: 300, fresh: true };
+    assert_eq!(acknowledged(board.step(3, received(HUB, again))), [5]);
+    // An ordinary digest is none.
+    assert_eq!(acknowledged(board.step(4, received(HUB, have(5)))), []);
+}
+
+#[test]
+fn an_ask_without_an_answer_is_followed_by_one_that_is_not_left_to_datagrams() {
+    let mut board = Callboard::start(place(9), Mode::Follower, Index(0), 1, 0);
+    board.step(0, Event::Peers { hubs: places(&[HUB]), others: places(&[8]) });
+    board.step(0, received(8, fresh(piece(3, 5))));
+    let mut asked = Vec::new();
+    while asked.len() < 2 {
+        let now = board.due();
+        let effects = board.step(now, Event::Tick);
+        let want = |effect: &Effect| matches!(effect, Effect::Send { message: Message::Want { .. }, .. });
+        if let Some(at) = effects.iter().position(want) {
+            let Effect::Send { to, .. } = &effects[at] else { panic!("an ask") };
+            asked.push(effects[..at].contains(&Effect::Insist { to: *to }));
+        }
+        assert!(now < 10 * SECOND);
+    }
+    assert_eq!(asked, [true, true]);
+    assert!(board.stats().asks_unanswered >= 1);
+}
--- a/crates/callboard/tests/whole.rs
+++ b/crates/callboard/tests/whole.rs
@@ -90,6 +90,8 @@
         for effect in board.step(self.now, event) {
             match effect {
                 Effect::Send { to, message } => self.send(node, node_at(to), message),
+                // No streams for small words in this world: what holds without them holds with them.
+                Effect::Insist { .. } => {}
                 Effect::Apply { .. } => {}
                 Effect::Restore { data, .. } => {
                     assert_eq!(data.len(), self.state);
--- a/crates/callboard/tests/world.rs
+++ b/crates/callboard/tests/world.rs
@@ -142,6 +142,8 @@
                     self.step(node, Event::Kept { index, data: data(index.0, 3_000) });
                 }
                 Effect::Send { to, message } => self.send(node, node_at(to), message),
+                // No streams for small words in this world: what holds without them holds with them.
+                Effect::Insist { .. } => {}
             }
         }
         if node > HUBS {
--- a/crates/cast/src/cast.rs
+++ b/crates/cast/src/cast.rs
@@ -84,6 +84,8 @@
     /// When what was remembered and has not been heard of is silent; those to be told of a second time.
     remembered_until: Micros,
     stale: Vec<InstanceId>,
+    /// Datagrams to or from this node seem to be lost.
+    strained: bool,
 }
 
 impl Cast {
@@ -119,6 +121,7 @@
             shed_to: None,
             remembered_until: Micros::MAX,
             stale: Vec::new(),
+            strained: false,
         }
     }
 
@@ -165,6 +168,7 @@
             Event::Detach { ask, id } => self.detach(now, ask, id, &mut out),
             Event::Peers { hubs, others } => self.peers(now, hubs, others),
             Event::Voters { places } => self.voters(now, places),
+            Event::Strained { strained } => self.strained(now, strained),
             Event::Proved { at } => self.proved = self.proved.max(at),
         }
         self.work(now, &mut out);
@@ -232,6 +236,13 @@
         self.rounds.iter_mut().for_each(|round| round.keep_foyers(others));
     }
 
+    fn strained(&mut self, now: Micros, strained: bool) {
+        if strained && !self.strained {
+            self.compare_at = now;
+        }
+        self.strained = strained;
+    }
+
     fn voters(&mut self, now: Micros, places: Vec<Place>) {
         self.voters = places;
         self.voters.sort_unstable();
@@ -495,10 +506,13 @@
             let to = round.take_send(now, &told, self.timing.tell_again);
             if let Some(entry) = self.list.get(&round.id).filter(|_| !to.is_empty()) {
                 let record = entry.known.record(now);
-                out.extend(to.into_iter().map(|to| {
+                for to in to {
+                    if round.insists(to) {
+                        out.push(Effect::Insist { to });
+                    }
                     let message = Message::Leaving { round: round.number, record: record.clone() };
-                    Effect::Send { to, message }
-                }));
+                    out.push(Effect::Send { to, message });
+                }
             }
         }
         rounds.retain(|round| !round.over(now, &told));
@@ -647,10 +661,11 @@
         } else {
             self.timing.compare + self.chance(COMPARE_SPREAD) * self.timing.compare / 1000
         };
-        self.compare_at = now + wait;
+        self.compare_at = now + if self.strained { wait / 2 } else { wait };
         // Foyers that begin at the same time know no more than this one.
         let begins = self.first_asks > FIRST_ASKS - 2;
-        let hub = !self.hubs.is_empty() && (begins || self.others.is_empty() || self.chance(4) > 0);
+        let hub = !self.hubs.is_empty()
+            && (begins || self.strained || self.others.is_empty() || self.chance(4) > 0);
         let from = if hub { &self.hubs } else { &self.others };
         if from.is_empty() {
             return;
--- a/crates/cast/src/drains.rs
+++ b/crates/cast/src/drains.rs
@@ -9,6 +9,8 @@
 const MOST_ASKS: usize = 16;
 /// Between sendings to those that have not answered while someone waits; after that it is `Timing::tell_again`.
 const RETRY: Micros = 100 * MS;
+/// Foyers that have not answered so many sendings should be told by stream.
+const BY_DATAGRAM: u32 = 2;
 /// How long those that don't answer are told again.
 const LASTS: Micros = 2 * SECOND;
 /// How long the answers of all foyers are waited for.
@@ -30,6 +32,7 @@
     all_foyers: bool,
     heard: Vec<Place>,
     next_send: Micros,
+    sendings: u32,
     known: bool,
 }
 
@@ -46,7 +49,19 @@
         let (asks, heard) = (Vec::new(), Vec::new());
         let foyers_until = if all_foyers { now + FOYERS_WAIT } else { Micros::MAX };
         let (ends, next_send) = (now + LASTS, now);
-        Round { number, id, foyers_until, ends, asks, foyers, all_foyers, heard, next_send, known: false }
+        Round {
+            number,
+            id,
+            foyers_until,
+            ends,
+            asks,
+            foyers,
+            all_foyers,
+            heard,
+            next_send,
+            sendings: 0,
+            known: false,
+        }
     }
 
     /// Another caller waits. `false` where too many do.
@@ -97,9 +112,16 @@
             return Vec::new();
         }
         self.next_send = now + if self.asks.is_empty() { later } else { RETRY };
+        self.sendings += 1;
         hubs.iter().chain(&self.foyers).filter(|place| !self.heard.contains(place)).copied().collect()
     }
 
+    /// Whether a node that is told now has been mute for so long that datagrams seem to be lost on its way. Hubs that are
+    /// mute are away rather: their links carry no requests.
+    pub fn insists(&self, place: Place) -> bool {
+        self.sendings > BY_DATAGRAM && self.foyers.contains(&place)
+    }
+
     /// A node that is down is not told any more.
     pub fn keep_foyers(&mut self, up: &[Place]) {
         self.foyers.retain(|place| up.contains(place));
--- a/crates/cast/src/lib.rs
+++ b/crates/cast/src/lib.rs
@@ -222,6 +222,10 @@
     Voters {
         places: Vec<Place>,
     },
+    /// Datagrams to or from this node seem to be lost: it compares with hubs only, and twice as often.
+    Strained {
+        strained: bool,
+    },
     /// A majority of the voters was in touch with this hub at this moment of the own clock.
     Proved {
         at: Micros,
@@ -230,6 +234,10 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// As the board's: what goes to this node for a while should not be left to datagrams.
+    Insist {
+        to: Place,
+    },
     Send {
         to: Place,
         message: Message,
--- a/crates/cast/tests/world/mod.rs
+++ b/crates/cast/tests/world/mod.rs
@@ -180,6 +180,8 @@
                     self.counter += 1;
                     self.net.insert((self.now + delay, self.counter), (at, to, message));
                 }
+                // No streams for small words in this world: what holds without them holds with them.
+                Effect::Insist { .. } => {}
                 Effect::Changed { record } => drop(node.shown.insert(record.id, record.state)),
                 Effect::Taken { ask, .. } | Effect::NotTaken { ask } => {
                     self.answers.insert(ask, (at, effect));
--- a/crates/company/src/node.rs
+++ b/crates/company/src/node.rs
@@ -17,6 +17,8 @@
 const HELPING_MAX: usize = 64;
 /// Steps of local strain (Lifeguard); each stretches time-outs once more.
 const STRAIN_MAX: u32 = 4;
+/// From so many steps on the node counts as strained.
+const STRAINED: u32 = 2;
 /// A suspect that was heard this lately is told again instead of held dead.
 const HEARD_LATELY: Micros = 1_000 * MS;
 /// So long after it replaced an older life, a member hears at which incarnation it is held.
@@ -155,6 +157,12 @@
         self.due
     }
 
+    /// Whether probes of several members in a row got no answer, and no helper's word either: a hint at this node's own
+    /// link or load.
+    pub fn strained(&self) -> bool {
+        self.strain >= STRAINED
+    }
+
     /// This node's own entry.
     pub fn own(&self) -> &Member {
         &self.own
--- a/crates/extras/src/change.rs
+++ b/crates/extras/src/change.rs
@@ -176,6 +176,8 @@
             for effect in std::mem::take(&mut effects) {
                 match effect {
                     Effect::Send { to, message } => self.send(at, to, message),
+                    // Nothing is lost here.
+                    Effect::Insist { .. } => {}
                     Effect::Apply { index, .. } | Effect::Restore { index, .. } => {
                         if index >= LAST && self.boards[at].has.is_none() {
                             self.boards[at].has = Some(self.now);
--- a/crates/extras/src/sockets/part.rs
+++ b/crates/extras/src/sockets/part.rs
@@ -15,7 +15,7 @@
 use script::{Command, Outcome};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
-use wings::{Incoming, Post, PostLimits};
+use wings::{Arrived, Incoming, Post, PostLimits};
 
 use super::{Plan, Told, wall};
 use crate::size::ZONES;
@@ -288,9 +288,9 @@
         let due = born + Duration::from_micros(due.clamp(0, 3_600_000_000) as u64);
         tokio::select! {
             word = heard.recv() => {
-                let Some((from, bytes)) = word else { return };
+                let Some(Arrived { from, bytes, .. }) = word else { return };
                 mail(&shared, &waiting, from, &bytes);
-                while let Ok((from, bytes)) = heard.try_recv() {
+                while let Ok(Arrived { from, bytes, .. }) = heard.try_recv() {
                     mail(&shared, &waiting, from, &bytes);
                 }
             }
--- a/crates/extras/src/world/node.rs
+++ b/crates/extras/src/world/node.rs
@@ -9,7 +9,7 @@
 use playhouse::house::{House, Letter};
 use playhouse::settings::{Settings, micros};
 use promptbook::{Members, Saved, Write, WriteNo};
-use props::{Ask, Life, Micros, Place, Seat};
+use props::{Ask, Carrier, Life, Micros, Place, Seat};
 use script::Command;
 
 use super::report::Spent;
@@ -184,9 +184,9 @@
 
     pub fn mail(&mut self, now: Micros, from: Place, bytes: &[u8]) -> Vec<Did> {
         if self.prompter {
-            self.control(now, control::In::Mail { from, bytes: bytes.to_vec() })
+            self.control(now, control::In::Mail { from, bytes: bytes.to_vec(), carrier: Carrier::Datagram })
         } else {
-            self.gateway(now, floor::In::Mail { from, bytes })
+            self.gateway(now, floor::In::Mail { from, bytes, carrier: Carrier::Datagram })
         }
     }
 
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -8,7 +8,7 @@
 use company::{Part, Standing};
 use intent::{Inspector, inspector};
 use promptbook::{Effect, Entry, Event, Members, Message, Promptbook, Release, Saved, What, Write, WriteNo};
-use props::{Ask, Form, Index, MS, Micros, Place, SECOND, Seat};
+use props::{Ask, Carrier, Form, Index, MS, Micros, Place, SECOND, Seat};
 use script::{Command, Count, Outcome};
 
 use crate::house::{Happened, House, Letter, Word};
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub enum In {
     Tick,
-    Mail { from: Place, bytes: Vec<u8> },
+    Mail { from: Place, bytes: Vec<u8>, carrier: Carrier },
     Written { no: WriteNo, ok: bool },
     Order { ask: Ask, command: Command },
     Read { ask: Ask },
@@ -240,7 +240,7 @@
         }
         match event {
             In::Tick => self.tick(now),
-            In::Mail { from, bytes } => self.house.received(now, from, &bytes),
+            In::Mail { from, bytes, carrier } => self.house.received(now, from, &bytes, carrier),
             In::Written { no, ok: true } => self.log(now, Event::Synced { write: no }),
             In::Written { no, ok: false } => self.log(now, Event::WriteFailed { write: no }),
             In::Order { ask, command } => self.order(now, ask, command),
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -14,7 +14,7 @@
 use garnetdoor::host::{Arrival, Ending, ServerId, Taken, TicketId, TripNo, Vote, Wake};
 use indexmap::IndexMap;
 use intent::{Intent, Usher, usher, ward};
-use props::{MS, Micros, Place, SECOND};
+use props::{Carrier, MS, Micros, Place, SECOND};
 
 use crate::house::{Happened, House, Letter, Word};
 use crate::settings::{Settings, micros};
@@ -40,6 +40,7 @@
     Mail {
         from: Place,
         bytes: &'a [u8],
+        carrier: Carrier,
     },
     /// A ticket that goes to one of its route's services; `left` is the client's time.
     Came {
@@ -279,7 +280,7 @@
         self.now.set(now);
         match event {
             In::Tick => self.tick(now),
-            In::Mail { from, bytes } => self.house.received(now, from, bytes),
+            In::Mail { from, bytes, carrier } => self.house.received(now, from, bytes, carrier),
             In::Came { ticket, service, route, kind, left } => self.came(ticket, service, route, kind, left),
             In::Ended { ticket, trip, took, ending, over } => self.ended(ticket, trip, took, ending, over),
             In::Left { ticket } => self.left(ticket),
--- a/crates/playhouse/src/foyer/mod.rs
+++ b/crates/playhouse/src/foyer/mod.rs
@@ -25,7 +25,7 @@
 use hyper::Response;
 use props::{Life, MS, Micros, Place, SECOND};
 use tokio::sync::oneshot;
-use wings::Post;
+use wings::{Arrived, Post};
 
 use crate::floor::desk::Seen;
 use crate::floor::{Floor, In, Out};
@@ -132,12 +132,12 @@
             }
         }
         tokio::select! {
-            word = mail.recv() => {
-                let Some((from, bytes)) = word else { return Err("the post has gone".into()) };
+            arrived = mail.recv() => {
+                let Some(arrived) = arrived else { return Err("the post has gone".into()) };
                 let mut foyer = shared.borrow_mut();
-                foyer.step(&shared, In::Mail { from: Place(from), bytes: &bytes });
-                while let Ok((from, bytes)) = mail.try_recv() {
-                    foyer.step(&shared, In::Mail { from: Place(from), bytes: &bytes });
+                foyer.mail(&shared, &arrived);
+                while let Ok(arrived) = mail.try_recv() {
+                    foyer.mail(&shared, &arrived);
                 }
             }
             _ = tokio::time::sleep_until(due) => shared.borrow_mut().tick(&shared),
@@ -188,6 +188,11 @@
         }
     }
 
+    fn mail(&mut self, shared: &Shared, arrived: &Arrived) {
+        let Arrived { from, bytes, carrier } = arrived;
+        self.step(shared, In::Mail { from: Place(*from), bytes, carrier: *carrier });
+    }
+
     fn step(&mut self, shared: &Shared, event: In<'_>) {
         let out = self.floor.step(self.clock.now(), event);
         for what in out {
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -8,10 +8,12 @@
 use callboard::Callboard;
 use cast::Cast;
 use company::{Company, Member, Part, Standing};
-use props::{Ask, Edition, Form, Index, MS, Micros, Place, SECOND, Seat};
+use props::{Ask, Carrier, Edition, Form, Index, MS, Micros, Place, SECOND, Seat};
 use script::{Broken, Outcome, Script};
 use serde::{Deserialize, Serialize};
 
+use crate::paths::Paths;
+
 /// What nodes say to each other, each word of one room.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Word {
@@ -53,9 +55,15 @@
     form: Form,
     newest: Form,
     word: Word,
+    carrier: Carrier,
 }
 
 impl Letter {
+    /// By what it is to go, where a datagram would hold it.
+    pub fn carrier(&self) -> Carrier {
+        self.carrier
+    }
+
     /// Two bytes of head, then the word: what a form adds are words of their own, so that all are written alike.
     pub fn to_bytes(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_extend(&self.word, vec![self.form.head(), self.newest.head()])
@@ -149,6 +157,12 @@
     pub cast: Cast,
     pub script: Script,
     unreadable: Option<Unreadable>,
+    /// By what words of the board and of the cast go; other words are for a datagram, or their length says it.
+    paths: Paths,
+    /// What the board and the cast were told of this node's own link.
+    strained: bool,
+    /// When something came or was due last.
+    now: Micros,
     /// The newest form that each known node reads, as the head of its last word said.
     heard: BTreeMap<Place, Form>,
     /// Words that were refused for their form, and the senders and forms that were told of already.
@@ -186,6 +200,9 @@
             cast,
             script,
             unreadable: None,
+            paths: Paths::default(),
+            strained: false,
+            now,
             heard: BTreeMap::new(),
             refused: 0,
             told: BTreeSet::new(),
@@ -271,7 +288,26 @@
     /// is not sent; who says it must not count on it before all known nodes read it (`Script::agreed`).
     pub fn letter(&self, to: Place, word: Word) -> Option<Letter> {
         let form = self.shared(to);
-        (word.since() <= form).then_some(Letter { form, newest: self.own.edition.forms.newest, word })
+        let carrier = match word {
+            Word::Board(_) | Word::Cast(_) => self.paths.carrier(self.now, to, self.is_hub(to)),
+            _ => Carrier::Datagram,
+        };
+        let newest = self.own.edition.forms.newest;
+        (word.since() <= form).then_some(Letter { form, newest, word, carrier })
+    }
+
+    fn is_hub(&self, place: Place) -> bool {
+        self.company.member(place).is_some_and(|member| member.part == Part::Prompter)
+    }
+
+    /// Whether datagrams to or from this node seem to be lost.
+    pub fn strained(&self) -> bool {
+        self.strained
+    }
+
+    /// Nodes that are written to by stream, as datagrams to or from them are lost.
+    pub fn streams(&self) -> usize {
+        self.paths.streams(self.now)
     }
 
     /// The node at a place, where it is known not to read the form that is agreed.
@@ -405,10 +441,12 @@
 
     /// Wakes the rooms whose time has come.
     pub fn tick(&mut self, now: Micros) {
+        self.now = now;
         if self.company.due() <= now {
             let effects = self.company.step(now, company::Event::Tick);
             self.company_did(now, effects);
         }
+        self.tell_strain(now);
         if self.board.due() <= now {
             let effects = self.board.step(now, callboard::Event::Tick);
             self.board_did(now, effects);
@@ -419,8 +457,29 @@
         }
     }
 
+    /// A foyer whose own link seems to lose datagrams reaches the prompters by streams.
+    fn tell_strain(&mut self, now: Micros) {
+        if self.own.part != Part::Foyer {
+            return;
+        }
+        self.paths.probes_fail(self.company.strained());
+        let strained = self.paths.strained(now);
+        if strained == self.strained {
+            return;
+        }
+        self.strained = strained;
+        let effects = self.board.step(now, callboard::Event::Strained { strained });
+        self.board_did(now, effects);
+        let effects = self.cast.step(now, cast::Event::Strained { strained });
+        self.cast_did(effects);
+    }
+
     /// Takes what another node sent; what can't be read is dropped, as a lost datagram would be.
-    pub fn received(&mut self, now: Micros, from: Place, bytes: &[u8]) {
+    pub fn received(&mut self, now: Micros, from: Place, bytes: &[u8], carrier: Carrier) {
+        self.now = now;
+        if let Some(member) = self.company.member(from) {
+            self.paths.heard(now, from, member.part == Part::Prompter, carrier, bytes.len());
+        }
         let Some((form, newest, word)) = opened(bytes) else { return self.refuse(from, None) };
         if !self.own.edition.forms.read(form) {
             self.refuse(from, Some(form));
@@ -587,6 +646,7 @@
         for effect in effects {
             match effect {
                 callboard::Effect::Send { to, message } => self.send(to, Word::Board(message)),
+                callboard::Effect::Insist { to } => self.paths.insist(now, to),
                 callboard::Effect::Apply { index, data } => self.apply(now, index, &data, None),
                 callboard::Effect::Restore { index, data } => self.restore(now, index, &data),
                 callboard::Effect::NeedWhole => {
@@ -602,6 +662,7 @@
         for effect in effects {
             match effect {
                 cast::Effect::Send { to, message } => self.send(to, Word::Cast(message)),
+                cast::Effect::Insist { to } => self.paths.insist(self.now, to),
                 cast::Effect::Taken { ask, target } => {
                     self.happened.push_back(Happened::BeatTaken { ask, target });
                 }
--- a/crates/playhouse/src/lib.rs
+++ b/crates/playhouse/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod house;
 mod listen;
 pub mod metrics;
+pub mod paths;
 mod post;
 pub mod prompter;
 pub mod ring;
--- a/crates/playhouse/src/metrics.rs
+++ b/crates/playhouse/src/metrics.rs
@@ -49,6 +49,8 @@
         metrics.counter("datagrams_refused", "Datagrams not taken by the system", post.datagrams_refused);
         metrics.counter("datagrams_received", "Datagrams received", post.datagrams_received);
         metrics.counter("datagrams_dropped", "Datagrams dropped for want of room", post.datagrams_dropped);
+        metrics.gauge("peers_by_stream", "Nodes not left to datagrams now", house.streams() as u64);
+        metrics.gauge("link_strained", "Own datagrams seem to be lost", u64::from(house.strained()));
         metrics.counter("stream_messages_sent", "Messages queued for streams", post.stream_messages_sent);
         metrics
     }
--- a/crates/playhouse/src/post.rs
+++ b/crates/playhouse/src/post.rs
@@ -1,6 +1,6 @@
 //! Words to bytes on their way out.
 
-use props::Place;
+use props::{Carrier, Place};
 use wings::Post;
 
 use crate::house::Letter;
@@ -8,6 +8,7 @@
 /// Sends a word; like a datagram it may be lost.
 pub fn send(post: &Post, to: Place, word: &Letter) {
     match word.to_bytes() {
+        Ok(bytes) if word.carrier() == Carrier::Stream => post.send_by_stream(to.0, bytes),
         Ok(bytes) => post.send(to.0, bytes),
         Err(error) => log::error!("a word to {to} can't be written: {error}"),
     }
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -20,7 +20,7 @@
 use script::{Command, Outcome};
 use simd_json::prelude::*;
 use tokio::sync::oneshot;
-use wings::{DiskHand, DiskStore, NoteHand, Post};
+use wings::{Arrived, DiskHand, DiskStore, NoteHand, Post};
 
 use crate::calls::{self, Call, Wrong};
 use crate::commands::view::{Disk, view};
@@ -135,12 +135,12 @@
         }
         let due = clock.at(shared.borrow().control.due());
         tokio::select! {
-            word = mail.recv() => {
-                let Some((from, bytes)) = word else { return Err("the post has gone".into()) };
+            arrived = mail.recv() => {
+                let Some(arrived) = arrived else { return Err("the post has gone".into()) };
                 let mut prompter = shared.borrow_mut();
-                prompter.step(In::Mail { from: Place(from), bytes });
-                while let Ok((from, bytes)) = mail.try_recv() {
-                    prompter.step(In::Mail { from: Place(from), bytes });
+                prompter.mail(arrived);
+                while let Ok(arrived) = mail.try_recv() {
+                    prompter.mail(arrived);
                 }
             }
             done = done.recv() => {
@@ -221,6 +221,11 @@
 }
 
 impl Prompter {
+    fn mail(&mut self, arrived: Arrived) {
+        let Arrived { from, bytes, carrier } = arrived;
+        self.step(In::Mail { from: Place(from), bytes, carrier });
+    }
+
     fn step(&mut self, event: In) {
         let now = self.clock.now();
         let out = self.control.step(now, event);
--- /dev/null
+++ b/crates/playhouse/tests/paths.rs
@@ -0,0 +1,61 @@
+//! By what words go between nodes: datagrams, until something shows that they are lost.
+
+use std::net::Ipv4Addr;
+
+use playhouse::paths::Paths;
+use props::{Carrier, DATAGRAM_BYTES, Place, SECOND};
+
+const HUB: Place = Place(Ipv4Addr::new(10, 0, 0, 1));
+const PEER: Place = Place(Ipv4Addr::new(10, 0, 0, 2));
+
+#[test]
+fn a_node_is_written_to_by_stream_for_a_while_after_the_last_sign_of_loss() {
+    let mut paths = Paths::default();
+    assert_eq!(paths.carrier(0, PEER, false), Carrier::Datagram);
+    paths.insist(0, PEER);
+    assert_eq!(paths.carrier(4 * SECOND, PEER, false), Carrier::Stream);
+    assert_eq!(paths.carrier(4 * SECOND, HUB, true), Carrier::Datagram);
+    paths.insist(4 * SECOND, PEER);
+    assert_eq!(paths.carrier(8 * SECOND, PEER, false), Carrier::Stream);
+    assert_eq!(paths.streams(8 * SECOND), 1);
+    assert_eq!(paths.carrier(10 * SECOND, PEER, false), Carrier::Datagram);
+    assert_eq!(paths.streams(10 * SECOND), 0);
+}
+
+#[test]
+fn who_speaks_by_stream_without_need_is_answered_alike() {
+    let mut paths = Paths::default();
+    // What is too long for a datagram says nothing of losses.
+    paths.heard(0, PEER, false, Carrier::Stream, DATAGRAM_BYTES + 1);
+    paths.heard(0, PEER, false, Carrier::Datagram, 40);
+    assert_eq!(paths.carrier(0, PEER, false), Carrier::Datagram);
+    paths.heard(0, PEER, false, Carrier::Stream, 40);
+    assert_eq!(paths.carrier(0, PEER, false), Carrier::Stream);
+    assert!(!paths.strained(0));
+    // A hub that does so missed an acknowledgement: any hub is reached by stream then.
+    paths.heard(0, HUB, true, Carrier::Stream, 40);
+    assert!(paths.strained(SECOND));
+    assert_eq!(paths.carrier(SECOND, Place(Ipv4Addr::new(10, 0, 0, 3)), true), Carrier::Stream);
+    assert!(!paths.strained(6 * SECOND));
+}
+
+#[test]
+fn a_node_whose_probes_fail_reaches_hubs_by_stream_and_others_by_datagram() {
+    let mut paths = Paths::default();
+    paths.probes_fail(true);
+    assert_eq!(paths.carrier(0, HUB, true), Carrier::Stream);
+    assert_eq!(paths.carrier(0, PEER, false), Carrier::Datagram);
+    paths.probes_fail(false);
+    assert_eq!(paths.carrier(0, HUB, true), Carrier::Datagram);
+}
+
+#[test]
+fn no_more_nodes_are_written_to_by_stream_than_streams_are_for() {
+    let mut paths = Paths::default();
+    let place = |number: u8| Place(Ipv4Addr::new(10, 0, 1, number));
+    (0..=255).for_each(|number| paths.insist(0, place(number)));
+    assert_eq!(paths.streams(0), 128);
+    // Once their time is over there is room again.
+    paths.insist(6 * SECOND, place(255));
+    assert_eq!(paths.carrier(6 * SECOND, place(255), false), Carrier::Stream);
+}
--- a/crates/props/src/lib.rs
+++ b/crates/props/src/lib.rs
@@ -1,10 +1,12 @@
 //! Props (shared plain types): what the rooms of the system name things by. Nothing here decides anything.
 
+mod carrier;
 mod form;
 
 use std::fmt;
 use std::net::Ipv4Addr;
 
+pub use carrier::{Carrier, DATAGRAM_BYTES};
 pub use form::{Edition, Form, Forms, Program};
 pub use garnetdoor::host::Micros;
 use serde::{Deserialize, Serialize};
--- a/crates/rehearsal/src/world/machine.rs
+++ b/crates/rehearsal/src/world/machine.rs
@@ -8,7 +8,7 @@
 use playhouse::house::House;
 use playhouse::settings::{Settings, micros};
 use promptbook::Write;
-use props::{Life, MS, Micros, Place, SECOND};
+use props::{Carrier, Life, MS, Micros, Place, SECOND};
 use wings::{Fault, MemoryStore};
 
 use super::foyer::FoyerProc;
@@ -334,12 +334,14 @@
         self.later(when - self.now + late, Event::Tick { at, run, due: when });
     }
 
-    pub(crate) fn mail(&mut self, to: usize, from: Place, bytes: &[u8]) {
+    pub(crate) fn mail(&mut self, to: usize, from: Place, bytes: &[u8], carrier: Carrier) {
         match self.machines[to].process {
             Some(Process::Prompter(_)) => {
-                self.prompter_step(to, playhouse::control::In::Mail { from, bytes: bytes.to_vec() });
+                self.prompter_step(to, playhouse::control::In::Mail { from, bytes: bytes.to_vec(), carrier });
+            }
+            Some(Process::Foyer(_)) => {
+                self.foyer_step(to, playhouse::floor::In::Mail { from, bytes, carrier })
             }
-            Some(Process::Foyer(_)) => self.foyer_step(to, playhouse::floor::In::Mail { from, bytes }),
             None => {}
         }
     }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -18,7 +18,7 @@
 use oorandom::Rand64;
 use playhouse::settings::Settings;
 use promptbook::Write;
-use props::{MS, Micros, Place, SECOND};
+use props::{Carrier, MS, Micros, Place, SECOND};
 
 use crate::plant::Planted;
 use crate::queue::Queue;
@@ -46,6 +46,7 @@
         to: usize,
         from: Place,
         bytes: Rc<[u8]>,
+        carrier: Carrier,
     },
     Synced {
         at: usize,
@@ -386,7 +387,7 @@
             match event {
                 Event::Start { at, alone } => self.start(at, alone),
                 Event::Tick { at, run, due } => self.tick(at, run, due),
-                Event::Mail { to, from, bytes } => self.mail(to, from, &bytes),
+                Event::Mail { to, from, bytes, carrier } => self.mail(to, from, &bytes, carrier),
                 Event::Synced { at, run, write } => self.synced(at, run, write),
                 Event::Thaw { at } => self.thaw(at),
                 Event::Down { at, power, wiped, back } => self.down(at, power, wiped, Some(back)),
--- a/crates/rehearsal/src/world/net.rs
+++ b/crates/rehearsal/src/world/net.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use playhouse::house::{Letter, Word};
-use props::{MS, Micros, Place};
+use props::{Carrier, DATAGRAM_BYTES, MS, Micros, Place};
 
 use super::{Event, World};
 
@@ -78,7 +78,7 @@
         let storm = self.now < self.storm.0;
         // Larger ones go by streams, which don't lose them.
         let lost = if storm { self.storm.1 } else { self.scenario.lost };
-        let datagram = bytes.len() <= 1_200;
+        let datagram = bytes.len() <= DATAGRAM_BYTES && word.carrier() == Carrier::Datagram;
         if datagram && (self.odds(lost) || self.lost_at_full_links(from, to)) {
             return;
         }
@@ -97,13 +97,14 @@
             delay += self.queued(from, to);
         }
         delay += self.carried(from, bytes.len()) + self.carried(to, bytes.len());
+        let carrier = if datagram { Carrier::Datagram } else { Carrier::Stream };
         let from = self.machines[from].place;
         let bytes: Rc<[u8]> = bytes.into();
         if self.odds(2) {
             let twice = delay + self.span(0, 50 * MS);
-            self.later(twice, Event::Mail { to, from, bytes: bytes.clone() });
+            self.later(twice, Event::Mail { to, from, bytes: bytes.clone(), carrier });
         }
-        self.later(delay, Event::Mail { to, from, bytes });
+        self.later(delay, Event::Mail { to, from, bytes, carrier });
     }
 }
 
--- a/crates/understudy/src/targets/stream.rs
+++ b/crates/understudy/src/targets/stream.rs
@@ -75,8 +75,8 @@
         let read = wings::frames(input, from, arrived, reading.clone(), limits);
         let taken = async {
             let mut taken = Vec::new();
-            while let Some((_, message)) = incoming.recv().await {
-                taken.push(message);
+            while let Some(arrived) = incoming.recv().await {
+                taken.push(arrived.bytes);
             }
             taken
         };
--- a/crates/understudy/src/targets/words.rs
+++ b/crates/understudy/src/targets/words.rs
@@ -8,7 +8,7 @@
 use playhouse::house::{House, Letter, Word, opened};
 use playhouse::settings::Spans;
 use promptbook::{Members, Saved};
-use props::{Ask, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
+use props::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
 use script::{Command, Tally, Voice, Vote};
 
 use super::BILL;
@@ -152,11 +152,12 @@
                 said.push((from, bytes.clone()));
                 let number = to.0.octets()[3];
                 if number == 4 {
-                    self.foyer.received(self.now, place(from), &bytes);
+                    self.foyer.received(self.now, place(from), &bytes, Carrier::Datagram);
                     while self.foyer.happened().is_some() {}
                     self.foyer_says();
                 } else if (1..=3).contains(&number) {
-                    let out = self.step(number, In::Mail { from: place(from), bytes });
+                    let out =
+                        self.step(number, In::Mail { from: place(from), bytes, carrier: Carrier::Datagram });
                     self.took(number, out);
                 }
             }
@@ -290,7 +291,7 @@
             // What time alone made it say.
             while foyer.happened().is_some() {}
             drop(foyer.out());
-            foyer.received(now, from, bytes);
+            foyer.received(now, from, bytes, Carrier::Datagram);
             let mut happened = 0;
             while foyer.happened().is_some() {
                 happened += 1;
@@ -311,7 +312,8 @@
             assert!(foyer.script.index() >= before.0 && foyer.board.index() >= before.1, "nothing goes back");
             signature.bucket("happened", tag << 8 | happened);
             let known = control.house.script.index();
-            let mut out = control.step(now, In::Mail { from, bytes: bytes.to_vec() });
+            let mut out =
+                control.step(now, In::Mail { from, bytes: bytes.to_vec(), carrier: Carrier::Datagram });
             let mut turns = 0;
             while let Some(at) = out.iter().position(|out| matches!(out, Out::Write(_))) {
                 let Out::Write(write) = out.remove(at) else { break };
--- a/crates/wings/src/incoming.rs
+++ b/crates/wings/src/incoming.rs
@@ -5,16 +5,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use props::Carrier;
 use tokio::io::{AsyncRead, AsyncReadExt, BufReader};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{Semaphore, mpsc};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
+use crate::Arrived;
 use crate::post::PostLimits;
 use crate::stats::Counters;
 
-pub type Arrived = mpsc::Sender<(Ipv4Addr, Vec<u8>)>;
+pub type Arrivals = mpsc::Sender<Arrived>;
 
 /// After an error of a listening socket, such as a lack of descriptors.
 const REST: Duration = Duration::from_millis(100);
@@ -25,14 +27,15 @@
 
 /// Hands on datagrams until the receiver is gone; drops them while it is full, and those over `longest`.
 pub(crate) async fn datagrams(
-    socket: Rc<UdpSocket>, arrived: Arrived, longest: usize, counters: Rc<Counters>,
+    socket: Rc<UdpSocket>, arrived: Arrivals, longest: usize, counters: Rc<Counters>,
 ) {
     let mut buffer = vec![0; longest + 1];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, SocketAddr::V4(from))) if length <= longest => {
                 counters.count(|stats| stats.datagrams_received += 1);
-                match arrived.try_send((*from.ip(), buffer[..length].to_vec())) {
+                let bytes = buffer[..length].to_vec();
+                match arrived.try_send(Arrived { from: *from.ip(), bytes, carrier: Carrier::Datagram }) {
                     Ok(()) => {}
                     Err(mpsc::error::TrySendError::Full(_)) => {
                         counters.count(|stats| stats.datagrams_dropped += 1);
@@ -53,12 +56,12 @@
 /// Takes in streams from others.
 pub(crate) struct Door {
     listener: TcpListener,
-    arrived: Arrived,
+    arrived: Arrivals,
     limits: PostLimits,
 }
 
 impl Door {
-    pub(crate) fn new(listener: TcpListener, arrived: Arrived, limits: PostLimits) -> Self {
+    pub(crate) fn new(listener: TcpListener, arrived: Arrivals, limits: PostLimits) -> Self {
         Self { listener, arrived, limits }
     }
 
@@ -89,7 +92,7 @@
 /// Hands on a stream's messages until it ends, errs or dawdles; a message cut off is dropped. Over any stream, so
 /// that what it reads can be played without a socket.
 pub async fn frames(
-    stream: impl AsyncRead + Unpin, from: Ipv4Addr, arrived: Arrived, reading: Arc<Semaphore>,
+    stream: impl AsyncRead + Unpin, from: Ipv4Addr, arrived: Arrivals, reading: Arc<Semaphore>,
     limits: PostLimits,
 ) {
     let mut stream = BufReader::with_capacity(READ_BYTES, stream);
@@ -111,7 +114,7 @@
         };
         let bound = limits.frame + Duration::from_micros(length as u64 * BYTE_MICROS);
         let Ok(Some(bytes)) = timeout(bound, frame).await else { return };
-        if arrived.send((from, bytes)).await.is_err() {
+        if arrived.send(Arrived { from, bytes, carrier: Carrier::Stream }).await.is_err() {
             return;
         }
     }
--- a/crates/wings/src/lib.rs
+++ b/crates/wings/src/lib.rs
@@ -13,6 +13,7 @@
 
 use std::net::Ipv4Addr;
 
+use props::Carrier;
 use tokio::sync::mpsc;
 
 pub use disk::{DirFolder, DiskStore, Folder};
@@ -24,11 +25,23 @@
 pub use post::{Post, PostLimits};
 pub use stats::PostStats;
 
-/// What arrived: the place it came from, and the bytes as they were sent.
-pub type Incoming = mpsc::Receiver<(Ipv4Addr, Vec<u8>)>;
+/// A message as it was sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Arrived {
+    pub from: Ipv4Addr,
+    pub bytes: Vec<u8>,
+    /// What brought it.
+    pub carrier: Carrier,
+}
+
+/// What has arrived, in order.
+pub type Incoming = mpsc::Receiver<Arrived>;
 
 /// Carries messages like datagrams: each one whole, once or not at all, in any order, never waiting.
 pub trait Transport {
     /// Sends, or drops what can't be sent now. Whoever needs an answer asks again.
     fn send(&self, to: Ipv4Addr, bytes: Vec<u8>);
+
+    /// As `send`, by a stream whatever its length: not lost at a full link, but later.
+    fn send_by_stream(&self, to: Ipv4Addr, bytes: Vec<u8>);
 }
--- a/crates/wings/src/memory_post.rs
+++ b/crates/wings/src/memory_post.rs
@@ -5,16 +5,17 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
+use props::Carrier;
 use tokio::sync::mpsc;
 
-use crate::{Incoming, Transport};
+use crate::{Arrived, Incoming, Transport};
 
 /// Messages that wait at one place; more are dropped.
 const ARRIVED: usize = 256;
 
 #[derive(Debug)]
 struct Hall {
-    places: HashMap<Ipv4Addr, mpsc::Sender<(Ipv4Addr, Vec<u8>)>>,
+    places: HashMap<Ipv4Addr, mpsc::Sender<Arrived>>,
     /// How many of a thousand messages are lost.
     lost: u64,
     chance: u64,
@@ -55,7 +56,16 @@
         }
         if let Some(place) = hall.places.get(&to) {
             // Full or gone: lost, as on the way.
-            let _ = place.try_send((self.own, bytes));
+            let _ = place.try_send(Arrived { from: self.own, bytes, carrier: Carrier::Datagram });
+        }
+    }
+
+    fn send_by_stream(&self, to: Ipv4Addr, bytes: Vec<u8>) {
+        let hall = self.hall.0.borrow();
+        if bytes.len() <= hall.longest
+            && let Some(place) = hall.places.get(&to)
+        {
+            let _ = place.try_send(Arrived { from: self.own, bytes, carrier: Carrier::Stream });
         }
     }
 }
--- a/crates/wings/src/post.rs
+++ b/crates/wings/src/post.rs
@@ -45,7 +45,7 @@
 impl Default for PostLimits {
     fn default() -> Self {
         Self {
-            datagram: 1_200,
+            datagram: props::DATAGRAM_BYTES,
             message: 16 << 20,
             queue: 4 << 20,
             peers: 128,
@@ -112,19 +112,30 @@
                     log::debug!("datagram to {to} dropped: {error}");
                 }
             }
-        } else if bytes.len() <= inner.limits.message {
-            inner.counters.count(|stats| stats.stream_messages_sent += 1);
-            inner.outgoing.send(to, &bytes);
         } else {
-            log::warn!("message of {} bytes to {to} is over the limit", bytes.len());
+            self.send_by_stream(to, bytes);
         }
     }
+
+    /// As `send`, by a stream whatever its length.
+    pub fn send_by_stream(&self, to: Ipv4Addr, bytes: Vec<u8>) {
+        let inner = &*self.0;
+        if bytes.len() > inner.limits.message {
+            return log::warn!("message of {} bytes to {to} is over the limit", bytes.len());
+        }
+        inner.counters.count(|stats| stats.stream_messages_sent += 1);
+        inner.outgoing.send(to, &bytes);
+    }
 }
 
 impl Transport for Post {
     fn send(&self, to: Ipv4Addr, bytes: Vec<u8>) {
         Post::send(self, to, bytes);
     }
+
+    fn send_by_stream(&self, to: Ipv4Addr, bytes: Vec<u8>) {
+        Post::send_by_stream(self, to, bytes);
+    }
 }
 
 impl Drop for Inner {
--- a/crates/wings/tests/contracts.rs
+++ b/crates/wings/tests/contracts.rs
@@ -4,7 +4,8 @@
 
 use common::{body, free_port, next, place, play};
 use ledger::{Batch, Store};
-use wings::{DiskStore, Incoming, MemoryHall, MemoryStore, Post, PostLimits, Transport};
+use props::Carrier;
+use wings::{Arrived, DiskStore, Incoming, MemoryHall, MemoryStore, Post, PostLimits, Transport};
 
 /// Short and long messages come whole, from the place that sent them, both ways; words to a place where
 /// nobody is, and words over every limit, harm nobody.
@@ -23,6 +24,16 @@
         assert_eq!((from, bytes.len()), (place(2), length));
         assert!(bytes == body(length, salt + 100));
     }
+    // By stream whatever its length, and told apart where it arrives.
+    for (length, carrier) in [(40, Carrier::Datagram), (40, Carrier::Stream)] {
+        match carrier {
+            Carrier::Datagram => a.send(place(2), body(length, 7)),
+            Carrier::Stream => a.send_by_stream(place(2), body(length, 7)),
+        }
+        let arrived = at_b.recv().await.expect("it arrives");
+        assert_eq!(arrived, Arrived { from: place(1), bytes: body(length, 7), carrier });
+    }
+    a.send_by_stream(place(2), body((16 << 20) + 1, 0));
     let mut waiting: Vec<usize> = (0..50).map(|i| if i % 2 == 0 { 300 + i } else { 9_000 + i }).collect();
     for &length in &waiting {
         a.send(place(2), body(length, length));
