--- a/crates/callboard/src/node.rs
+++ b/crates/callboard/src/node.rs
@@ -28,11 +28,15 @@
 const ASK_BASE: Micros = 250 * MS;
 const ASK_BYTE: Micros = 3;
 const ASK_TRIES_MAX: u32 = 2;
+/// One that was asked and has said nothing for so long gives way to another that speaks.
+const SILENT: Micros = 100 * MS;
 const TELLERS_MAX: usize = 8;
 /// The most bytes of pieces in answer to one ask; what is left is asked for again.
 const ANSWER_BYTES_MAX: usize = 128 * 1024;
 /// Below this, pieces are sent even where a whole state may be smaller.
 const WHOLE_ABOVE: usize = 64 * 1024;
+/// Pushed commands up to so many bytes together are sent again without an ask.
+const AGAIN_BYTES: usize = 4 * SMALL_BYTES;
 /// A whole state is kept for others that ask for the same one within this time.
 const WHOLE_KEPT: Micros = 2 * SECOND;
 /// Bytes of whole states that a node sends at once, and in a millisecond after that; a larger one goes alone. Whoever
@@ -52,6 +56,7 @@
 #[derive(Debug)]
 struct Asked {
     from: Place,
+    at: Micros,
     /// Another is asked from then on.
     until: Micros,
     tries: u32,
@@ -236,11 +241,8 @@
         if self.now >= self.tell_later.0 {
             self.tell_lot(out);
         }
-        for Overdue { place: to, insist } in self.unacknowledged.overdue(self.now) {
-            if insist {
-                out.push(Effect::Insist { to });
-            }
-            self.tell(to, true, out);
+        for overdue in self.unacknowledged.overdue(self.now) {
+            self.push_again(overdue, out);
         }
         if self.now >= self.next_digest {
             self.digest(out);
@@ -356,6 +358,7 @@
         }
         let piece = Piece { prev: self.index, index, data };
         let push = index >= self.known;
+        let prev = self.index;
         self.advance(index, piece.data.len() as u32);
         self.ring.push(piece.clone(), RING_BYTES_MAX + self.chain.1);
         if !push {
@@ -369,7 +372,7 @@
         }
         if piece.data.len() <= SMALL_BYTES {
             for to in share {
-                self.unacknowledged.pushed(self.now, to, index, 0);
+                self.unacknowledged.pushed(self.now, to, prev, index, 0);
                 let message = Message::Pieces { fresh: true, more: false, pieces: vec![piece.clone()] };
                 out.push(Effect::Send { to, message });
             }
@@ -395,12 +398,25 @@
         let left = self.tell_later.1.len().saturating_sub(BIG_FANOUT);
         let transfer = Micros::from(self.ring.weight()) * ASK_BYTE;
         for to in self.tell_later.1.split_off(left) {
-            self.unacknowledged.pushed(self.now, to, self.index, transfer);
+            self.unacknowledged.pushed(self.now, to, self.ring.before_last(), self.index, transfer);
             self.tell(to, true, out);
         }
         self.tell_later.0 = if left > 0 { self.now + TELL_LATER } else { Micros::MAX };
     }
 
+    /// What was pushed and not acknowledged goes once more where it is little, so that it needs no ask, of which datagrams
+    /// may be lost as well; and in any case that it is there, which wants an acknowledgement.
+    fn push_again(&mut self, overdue: Overdue, out: &mut Vec<Effect>) {
+        let Overdue { place: to, holds, insist } = overdue;
+        if insist {
+            out.push(Effect::Insist { to });
+        }
+        if matches!(self.ring.missing(holds), (1.., bytes) if bytes <= AGAIN_BYTES) {
+            self.send_pieces(to, holds, out);
+        }
+        self.tell(to, true, out);
+    }
+
     /// At most so many pushes a second; the rest is left to digests.
     fn may_push(&mut self) -> bool {
         if self.now - self.pushes.0 >= SECOND {
@@ -522,7 +538,7 @@
             self.pushed_by(from, index);
         }
         if index > self.index {
-            if self.mode == Mode::Follower && self.asked.is_none() {
+            if self.mode == Mode::Follower && (self.asked.is_none() || self.asked_in_vain(from)) {
                 self.ask(from, 0, fresh, out);
             } else {
                 self.told_while_asking(from, weight);
@@ -560,6 +576,14 @@
         }
     }
 
+    /// Whether one that tells of news now is rather to be asked than the one that has been asked and has said nothing: a
+    /// word of it has just come through. Where much is missing it is waited for, as a second copy would slow down the first.
+    fn asked_in_vain(&self, teller: Place) -> bool {
+        let little = self.known_weight as usize <= SMALL_BYTES;
+        let silent = |asked: &Asked| asked.from != teller && asked.told == 0 && self.now - asked.at >= SILENT;
+        little && self.asked.as_ref().is_some_and(silent)
+    }
+
     /// Whoever is asked tells first how much is on its way: it is waited for so long. Guards against asking for a
     /// second copy of a state while a slow link still carries the first, which makes the link slower still.
     fn told_while_asking(&mut self, from: Place, weight: u32) {
@@ -657,7 +681,8 @@
     }
 
     fn ask(&mut self, from: Place, tries: u32, fresh: bool, out: &mut Vec<Effect>) {
-        self.asked = Some(Asked { from, until: self.now + self.wait(tries), tries, fresh, told: 0 });
+        let until = self.now + self.wait(tries);
+        self.asked = Some(Asked { from, at: self.now, until, tries, fresh, told: 0 });
         self.gaps.asks += 1;
         out.push(Effect::Send { to: from, message: Message::Want { have: self.index } });
     }
--- a/crates/callboard/src/pushes.rs
+++ b/crates/callboard/src/pushes.rs
@@ -7,15 +7,17 @@
 
 /// A push by datagram should be acknowledged within this, beside what its bytes take.
 const ACKNOWLEDGED: Micros = 200 * MS;
-/// After the first one that was not, it is told again by datagram, since a single one gets lost anywhere; after that by
-/// stream, once in so long.
-const BY_DATAGRAM: u32 = 1;
+/// What was not is told again so many times by datagram, since single ones get lost anywhere; after that by stream, once
+/// in so long.
+const BY_DATAGRAM: u32 = 2;
 const AGAIN: Micros = SECOND;
 /// And not more often than this: by then it is gone, or gets it from others.
 const TIMES: u32 = 6;
 
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
+    /// What it is known to hold at least, and what it was pushed.
+    holds: Index,
     index: Index,
     until: Micros,
     told_again: u32,
@@ -25,6 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Overdue {
     pub place: Place,
+    pub holds: Index,
     /// Datagrams were lost more than once.
     pub insist: bool,
 }
@@ -34,16 +37,19 @@
 pub(crate) struct Pushes(BTreeMap<Place, Waiting>);
 
 impl Pushes {
-    /// `to` was told of the command at `index`; what it has to get may take `transfer` beside a word's way.
-    pub fn pushed(&mut self, now: Micros, to: Place, index: Index, transfer: Micros) {
+    /// `to` was told of the command at `index`, which follows `prev`; what it has to get may take `transfer` beside a
+    /// word's way.
+    pub fn pushed(&mut self, now: Micros, to: Place, prev: Index, index: Index, transfer: Micros) {
         let until = now + ACKNOWLEDGED + transfer;
-        let waiting = self.0.entry(to).or_insert(Waiting { index, until, told_again: 0 });
+        let waiting = self.0.entry(to).or_insert(Waiting { holds: prev, index, until, told_again: 0 });
         waiting.index = waiting.index.max(index);
     }
 
     /// A follower has shown that it holds all up to `index`.
     pub fn holds(&mut self, place: Place, index: Index) {
-        if self.0.get(&place).is_some_and(|waiting| waiting.index <= index) {
+        let Some(waiting) = self.0.get_mut(&place) else { return };
+        waiting.holds = waiting.holds.max(index);
+        if waiting.index <= index {
             self.0.remove(&place);
         }
     }
@@ -63,7 +69,7 @@
             waiting.told_again += 1;
             let insist = waiting.told_again > BY_DATAGRAM;
             waiting.until = now + if insist { AGAIN } else { ACKNOWLEDGED };
-            overdue.push(Overdue { place: *place, insist });
+            overdue.push(Overdue { place: *place, holds: waiting.holds, insist });
             waiting.told_again < TIMES
         });
         overdue
--- a/crates/callboard/src/ring.rs
+++ b/crates/callboard/src/ring.rs
@@ -45,6 +45,11 @@
         self.pieces.back().map_or(0, |piece| piece.data.len() as u32)
     }
 
+    /// What the latest command follows.
+    pub fn before_last(&self) -> Index {
+        self.pieces.back().map_or(Index(0), |piece| piece.prev)
+    }
+
     /// What follows `have`; nothing where the chain from there is not held any more.
     pub fn after(&self, have: Index) -> impl Iterator<Item = &Piece> {
         let first = self.pieces.partition_point(|piece| piece.index <= have);
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -389,7 +389,13 @@
     /// its reader is known to read is dropped, as a lost datagram would be.
     pub fn letters(&mut self) -> Vec<(Place, Letter)> {
         let words = self.out().into_iter();
-        words.filter_map(|(to, word)| Some((to, self.letter(to, word)?))).collect()
+        let letters: Vec<(Place, Letter)> =
+            words.filter_map(|(to, word)| Some((to, self.letter(to, word)?))).collect();
+        for (to, _) in letters.iter().filter(|(_, letter)| letter.carrier == Carrier::Stream) {
+            self.paths.wrote(self.now, *to);
+        }
+        self.paths.answered();
+        letters
     }
 
     /// Whether what is here may be served from: a source once proved it in this life, or those that are there are
--- a/crates/playhouse/src/paths.rs
+++ b/crates/playhouse/src/paths.rs
@@ -1,16 +1,25 @@
 //! Paths: by what messages to each node travel. No I/O.
 //!
 //! Datagrams are cheap and are lost at a full link, for seconds at a time; streams wait there and arrive. So a node is
-//! written to by datagram until something shows that they are lost: an acknowledgement or an answer that did not come
-//! (`insist`), the other node's own use of a stream for what would fit a datagram (`heard`), or failed probes of several
-//! members, which tell of this node's own link (`probes_fail`). After a while it is tried by datagram again.
+//! written to by datagram, but
+//!
+//! - by stream for a while where an acknowledgement or an answer of it did not come (`insist`);
+//! - by stream in answer to what it sent by stream without need (`answers`);
+//! - by stream from a strained gateway to any hub: one whose probes of several members fail, or to which a hub spoke by
+//!   stream unasked, as that hub missed its acknowledgement.
+//!
+//! Only what a node saw itself begins or renews a span: were a stream in answer a sign as well, two nodes that talk often
+//! would never go back to datagrams.
 
 use std::collections::BTreeMap;
 
 use props::{Carrier, DATAGRAM_BYTES, Micros, Place, SECOND};
 
-/// How long a node is written to by stream after the last sign that datagrams are lost.
-const HOLDS: Micros = 5 * SECOND;
+/// How long a node is written to by stream after an answer of it stayed away.
+const INSISTED: Micros = 5 * SECOND;
+/// How long a node counts as strained after a hub spoke to it by stream unasked, and for how long after an own stream to a
+/// hub that is rather its answer.
+const STRAINED: Micros = 2 * SECOND;
 /// Nodes that are written to by stream at once; for more there is a cause that streams would not cure.
 const MOST: usize = 128;
 
@@ -18,8 +27,11 @@
 #[derive(Debug, Default)]
 pub struct Paths {
     /// Until when.
-    by_stream: BTreeMap<Place, Micros>,
-    /// This node's own link seems to lose datagrams, by failed probes; or until when, by what control machines did.
+    insisted: BTreeMap<Place, Micros>,
+    /// When a node was written to by stream last.
+    written: BTreeMap<Place, Micros>,
+    /// Whose word, come by stream without need, is being answered.
+    answers: Option<Place>,
     probes_fail: bool,
     strained_until: Micros,
 }
@@ -27,23 +39,27 @@
 impl Paths {
     /// Something that `place` should have answered was not: what goes there now is not left to datagrams.
     pub fn insist(&mut self, now: Micros, place: Place) {
-        self.by_stream.retain(|_, until| *until > now);
-        if self.by_stream.len() < MOST || self.by_stream.contains_key(&place) {
-            self.by_stream.insert(place, now + HOLDS);
+        self.insisted.retain(|_, until| *until > now);
+        if self.insisted.len() < MOST || self.insisted.contains_key(&place) {
+            self.insisted.insert(place, now + INSISTED);
         }
     }
 
-    /// A message came from a node that is known. One that speaks by stream without need is answered alike; a hub that
-    /// does so has missed this node's acknowledgement.
+    /// A message came; until the next one, what goes to its sender answers it.
     pub fn heard(&mut self, now: Micros, from: Place, hub: bool, carrier: Carrier, bytes: usize) {
-        if carrier == Carrier::Stream && bytes <= DATAGRAM_BYTES {
-            self.insist(now, from);
-            if hub {
-                self.strained_until = now + HOLDS;
-            }
+        let without_need = carrier == Carrier::Stream && bytes <= DATAGRAM_BYTES;
+        self.answers = without_need.then_some(from);
+        let asked = self.written.get(&from).is_some_and(|at| now - at < STRAINED);
+        if without_need && hub && !asked {
+            self.strained_until = now + STRAINED;
         }
     }
 
+    /// What came last has been answered.
+    pub fn answered(&mut self) {
+        self.answers = None;
+    }
+
     /// Whether probes of several members failed at once.
     pub fn probes_fail(&mut self, fail: bool) {
         self.probes_fail = fail;
@@ -56,12 +72,21 @@
 
     /// By what a message to `place` is to go. `hub`: it is a control machine, of which a strained node tries to reach any.
     pub fn carrier(&self, now: Micros, place: Place, hub: bool) -> Carrier {
-        let insisted = self.by_stream.get(&place).is_some_and(|until| *until > now);
-        if insisted || (hub && self.strained(now)) { Carrier::Stream } else { Carrier::Datagram }
+        let insisted = self.insisted.get(&place).is_some_and(|until| *until > now);
+        let stream = insisted || self.answers == Some(place) || (hub && self.strained(now));
+        if stream { Carrier::Stream } else { Carrier::Datagram }
+    }
+
+    /// A message goes to `place` by stream that would fit a datagram.
+    pub fn wrote(&mut self, now: Micros, place: Place) {
+        self.written.retain(|_, at| now - *at < STRAINED);
+        if self.written.len() < MOST {
+            self.written.insert(place, now);
+        }
     }
 
-    /// How many nodes are written to by stream.
+    /// How many nodes are written to by stream, whatever they say.
     pub fn streams(&self, now: Micros) -> usize {
-        self.by_stream.values().filter(|until| **until > now).count()
+        self.insisted.values().filter(|until| **until > now).count()
     }
 }
