--- a/crates/playhouse/src/demo/stage.rs
+++ b/crates/playhouse/src/demo/stage.rs
@@ -21,6 +21,11 @@
 const BLOCKS: u8 = 4;
 /// Where instances begin within a block, after all nodes.
 const INSTANCES: u8 = 20;
+/// A stage with more nodes than fit a block has a whole net of addresses to itself.
+const WIDE_FOYERS: usize = 200;
+const WIDE_FIRST: u8 = 2;
+const WIDE_INSTANCES: u8 = 215;
+const WIDE_LAST: u8 = 250;
 /// Sets of ports that are tried before a stage gives up.
 const PORT_SETS: u16 = 20;
 /// A process that has not gone so long after SIGKILL is stuck in the kernel; nothing more can be done to it.
@@ -41,7 +46,9 @@
     Wait { name: String, error: io::Error },
     #[error("no ports are free on {address}: {error}")]
     Ports { address: Ipv4Addr, error: io::Error },
-    #[error("{wanted} prompters and {foyers} foyers asked for; 1 to 9 of each can stand on a stage")]
+    #[error(
+        "{wanted} prompters and {foyers} foyers asked for; 1 to 9 and 1 to {WIDE_FOYERS} can stand on a stage"
+    )]
     Size { wanted: usize, foyers: usize },
 }
 
@@ -67,6 +74,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct NodeNo(pub usize);
 
+/// Which loopback addresses a stage uses.
+#[derive(Clone, Copy, Debug)]
+struct Addresses {
+    net: [u8; 2],
+    first: u8,
+    next_instance: u8,
+    last: u8,
+}
+
+impl Addresses {
+    /// Two runs at the same time have different process ids, so they don't meet.
+    fn of(pid: u32, block: u8, wide: bool) -> Addresses {
+        let low = (pid % 250) as u8;
+        if wide {
+            let net = [251 + block, low];
+            return Addresses { net, first: WIDE_FIRST, next_instance: WIDE_INSTANCES, last: WIDE_LAST };
+        }
+        let net = [1 + (pid / 250 % 250) as u8, low];
+        Addresses { net, first: FIRST + block * BLOCK, next_instance: INSTANCES, last: BLOCK }
+    }
+
+    fn at(&self, number: u8) -> Ipv4Addr {
+        Ipv4Addr::new(127, self.net[0], self.net[1], self.first + number)
+    }
+
+    fn instance(&mut self) -> Option<Ipv4Addr> {
+        let number = self.next_instance;
+        self.next_instance = number.checked_add(1).filter(|next| *next <= self.last)?;
+        Some(self.at(number))
+    }
+}
+
 /// One node, running or not.
 #[derive(Debug)]
 struct Node {
@@ -98,22 +137,19 @@
     log: String,
     nodes: Vec<Node>,
     pub ports: Ports,
-    net: [u8; 2],
-    block: u8,
-    next_instance: u8,
+    addresses: Addresses,
 }
 
 impl Stage {
     /// Sets up folders and settings; starts nothing yet.
     pub fn set(plan: Plan) -> Result<Stage, StageError> {
-        if !(1..=9).contains(&plan.prompters) || !(1..=9).contains(&plan.foyers) {
+        if !(1..=9).contains(&plan.prompters) || !(1..=WIDE_FOYERS).contains(&plan.foyers) {
             return Err(StageError::Size { wanted: plan.prompters, foyers: plan.foyers });
         }
         let pid = std::process::id();
         let block = STAGES.fetch_add(1, Ordering::Relaxed) % BLOCKS;
-        // Two runs at the same time have different process ids, so they don't meet.
-        let net = [1 + (pid / 250 % 250) as u8, (pid % 250) as u8];
-        let at = |number: u8| Ipv4Addr::new(127, net[0], net[1], FIRST + block * BLOCK + number);
+        let addresses = Addresses::of(pid, block, plan.foyers > 9);
+        let at = |number: u8| addresses.at(number);
         let name = format!("garnetdoor-stage-{pid}-{block}");
         let folder = plan.folder.clone().unwrap_or_else(|| std::env::temp_dir().join(name));
         let file = |what, path: &Path| {
@@ -132,9 +168,7 @@
             log: plan.log,
             nodes: Vec::new(),
             ports: free_ports(at(0))?,
-            net,
-            block,
-            next_instance: INSTANCES,
+            addresses,
         };
         let parts = [(Part::Prompter, "prompter", plan.prompters), (Part::Foyer, "foyer", plan.foyers)];
         for (part, name, count) in parts {
@@ -189,9 +223,7 @@
 
     /// An address for one more instance; `None` when the block is full.
     pub fn instance_address(&mut self) -> Option<Ipv4Addr> {
-        let number = self.next_instance;
-        self.next_instance = number.checked_add(1).filter(|next| *next <= BLOCK)?;
-        Some(Ipv4Addr::new(127, self.net[0], self.net[1], FIRST + self.block * BLOCK + number))
+        self.addresses.instance()
     }
 
     fn path(&self, node: NodeNo, ending: &str) -> PathBuf {
