--- a/crates/callboard/src/node.rs
+++ b/crates/callboard/src/node/mod.rs
@@ -1,5 +1,10 @@
 //! One node's board: explicit states, and one function for each change of state.
 
+mod asking;
+mod source;
+mod telling;
+mod whole;
+
 use std::collections::BTreeMap;
 
 use oorandom::Rand64;
@@ -224,8 +229,6 @@
         self.index
     }
 
-    // ---- time ----
-
     fn timers(&mut self, out: &mut Vec<Effect>) {
         if self.kept.as_ref().is_some_and(|kept| self.now - kept.at > WHOLE_KEPT) {
             self.kept = None;
@@ -303,8 +306,6 @@
         self.turn.pop()
     }
 
-    // ---- peers ----
-
     fn peers(&mut self, hubs: Vec<Place>, others: Vec<Place>, out: &mut Vec<Effect>) {
         let own = self.own;
         let sorted = |places: Vec<Place>| {
@@ -338,96 +339,6 @@
         }
     }
 
-    /// The others that this hub pushes to: each belongs to one hub, and to the next one as well where others are
-    /// few. All hubs that know the same nodes come to the same shares.
-    fn share(&self) -> Vec<Place> {
-        let mut hubs = self.hubs.clone();
-        hubs.push(self.own);
-        hubs.sort_unstable();
-        let own = hubs.iter().position(|hub| *hub == self.own).unwrap_or(0);
-        let copies = if self.others.len() <= FEW { 2 } else { 1 };
-        let mine = |at: usize| (0..copies).any(|copy| (at + copy) % hubs.len() == own);
-        self.others.iter().enumerate().filter(|(at, _)| mine(*at)).map(|(_, place)| *place).collect()
-    }
-
-    // ---- sources ----
-
-    fn committed(&mut self, index: Index, data: Vec<u8>, out: &mut Vec<Effect>) {
-        if self.mode == Mode::Follower || index <= self.index {
-            return;
-        }
-        let piece = Piece { prev: self.index, index, data };
-        let push = index >= self.known;
-        let prev = self.index;
-        self.advance(index, piece.data.len() as u32);
-        self.ring.push(piece.clone(), RING_BYTES_MAX + self.chain.1);
-        if !push {
-            return;
-        }
-        let mut share = self.share();
-        if !self.may_push() {
-            // Too many at once: they hear a little later of all together.
-            self.tell_later = (self.tell_later.0.min(self.now + TELL_LATER), share);
-            return;
-        }
-        if piece.data.len() <= SMALL_BYTES {
-            for to in share {
-                self.unacknowledged.pushed(self.now, to, prev, index, 0);
-                let message = Message::Pieces { fresh: true, more: false, pieces: vec![piece.clone()] };
-                out.push(Effect::Send { to, message });
-            }
-            return;
-        }
-        shuffle(&mut self.rand, &mut share);
-        self.tell_later.1 = share;
-        self.tell_lot(out);
-    }
-
-    /// The chain goes on from here: whoever is behind can't get what came before in pieces, and is given the
-    /// whole. Without this the next piece would claim to follow on what was held before.
-    fn restored(&mut self, index: Index) {
-        if self.mode == Mode::Follower || index <= self.index {
-            return;
-        }
-        self.ring.clear();
-        self.advance(index, 0);
-    }
-
-    /// Tells a few of a big command; the next lot hears of it later, when most have it from each other.
-    fn tell_lot(&mut self, out: &mut Vec<Effect>) {
-        let left = self.tell_later.1.len().saturating_sub(BIG_FANOUT);
-        let transfer = Micros::from(self.ring.weight()) * ASK_BYTE;
-        for to in self.tell_later.1.split_off(left) {
-            self.unacknowledged.pushed(self.now, to, self.ring.before_last(), self.index, transfer);
-            self.tell(to, true, out);
-        }
-        self.tell_later.0 = if left > 0 { self.now + TELL_LATER } else { Micros::MAX };
-    }
-
-    /// What was pushed and not acknowledged goes once more where it is little, so that it needs no ask, of which datagrams
-    /// may be lost as well; and in any case that it is there, which wants an acknowledgement.
-    fn push_again(&mut self, overdue: Overdue, out: &mut Vec<Effect>) {
-        let Overdue { place: to, holds, insist } = overdue;
-        if insist {
-            out.push(Effect::Insist { to });
-        }
-        if matches!(self.ring.missing(holds), (1.., bytes) if bytes <= AGAIN_BYTES) {
-            self.send_pieces(to, holds, out);
-        }
-        self.tell(to, true, out);
-    }
-
-    /// At most so many pushes a second; the rest is left to digests.
-    fn may_push(&mut self) -> bool {
-        if self.now - self.pushes.0 >= SECOND {
-            self.pushes = (self.now, 0);
-        }
-        self.pushes.1 += 1;
-        self.pushes.1 <= PUSHES_MAX
-    }
-
-    // ---- what is heard ----
-
     fn received(&mut self, from: Place, message: Message, out: &mut Vec<Effect>) {
         if from == self.own {
             return;
@@ -442,18 +353,6 @@
         }
     }
 
-    fn tell_standing(&mut self, to: Place, out: &mut Vec<Effect>) {
-        if self.mode == Mode::Follower {
-            return;
-        }
-        let (standing, at) = self.stands;
-        let standing = match standing {
-            Standing::Proved { term, age } => Standing::Proved { term, age: age + (self.now - at) },
-            other => other,
-        };
-        out.push(Effect::Send { to, message: Message::Proof { index: self.index, standing } });
-    }
-
     /// A source that holds more than is here is asked for it at once, as if it had told by a digest.
     fn proof(&mut self, from: Place, index: Index, standing: Standing, out: &mut Vec<Effect>) {
         if self.mode == Mode::Source {
@@ -552,215 +451,6 @@
             self.nothing_there(out);
         }
     }
-
-    /// Somebody holds less: little is sent at once, of much it is told that it is here.
-    fn mend(&mut self, to: Place, have: Index, out: &mut Vec<Effect>) {
-        match self.ring.missing(have) {
-            (1.., bytes) if bytes <= SMALL_BYTES => self.send_pieces(to, have, out),
-            _ => self.tell(to, false, out),
-        }
-    }
-
-    fn want(&mut self, from: Place, have: Index, out: &mut Vec<Effect>) {
-        self.unacknowledged.holds(from, have);
-        if have >= self.index {
-            self.heard_of(from, have, 0);
-            self.tell(from, false, out);
-            return;
-        }
-        let whole_is_less = |bytes: usize| bytes > WHOLE_ABOVE && bytes > self.whole_bytes;
-        match self.ring.missing(have) {
-            (0, _) => self.need_whole(from, out),
-            (2.., bytes) if whole_is_less(bytes) => self.need_whole(from, out),
-            _ => self.send_pieces(from, have, out),
-        }
-    }
-
-    /// Whether one that tells of news now is rather to be asked than the one that has been asked and has said nothing: a
-    /// word of it has just come through. Where much is missing it is waited for, as a second copy would slow down the first.
-    fn asked_in_vain(&self, teller: Place) -> bool {
-        let little = self.known_weight as usize <= SMALL_BYTES;
-        let silent = |asked: &Asked| asked.from != teller && asked.told == 0 && self.now - asked.at >= SILENT;
-        little && self.asked.as_ref().is_some_and(silent)
-    }
-
-    /// Whoever is asked tells first how much is on its way: it is waited for so long. Guards against asking for a
-    /// second copy of a state while a slow link still carries the first, which makes the link slower still.
-    fn told_while_asking(&mut self, from: Place, weight: u32) {
-        let until = self.now + self.wait(0).max(ASK_BASE + Micros::from(weight) * ASK_BYTE);
-        if let Some(asked) = self.asked.as_mut().filter(|asked| asked.from == from && asked.told < weight) {
-            (asked.told, asked.until) = (weight, asked.until.max(until));
-        }
-    }
-
-    /// Whether a whole state of so many bytes may be sent now; counts it.
-    fn may_send(&mut self, bytes: usize) -> bool {
-        let earned = (self.now - self.may_send.1) / MS * WHOLES_MILLI;
-        if earned > 0 {
-            self.may_send = (self.may_send.0.saturating_add(earned).min(WHOLES_MOST), self.now);
-        }
-        let may = self.may_send.0 > 0 && (bytes as i64 <= self.may_send.0 || self.may_send.0 == WHOLES_MOST);
-        if may {
-            self.may_send.0 -= bytes as i64;
-        }
-        may
-    }
-
-    /// Sends a whole state, if that is not too much at once, behind a word of how much it is.
-    fn send_whole(&mut self, to: Place, index: Index, data: &[u8], out: &mut Vec<Effect>) {
-        if !self.may_send(data.len()) {
-            return;
-        }
-        let weight = u32::try_from(data.len()).unwrap_or(u32::MAX);
-        let until = self.now + CHAIN_KEPT + Micros::from(weight) * ASK_BYTE;
-        self.chain = (self.chain.0.max(until), data.len().min(CHAIN_BYTES_MAX));
-        out.push(Effect::Send { to, message: Message::Have { index, weight, fresh: false } });
-        out.push(Effect::Send { to, message: Message::Whole { index, data: data.to_vec() } });
-    }
-
-    fn need_whole(&mut self, from: Place, out: &mut Vec<Effect>) {
-        if let Some(kept) = self.kept.take() {
-            self.send_whole(from, kept.index, &kept.data, out);
-            self.kept = Some(kept);
-            return;
-        }
-        if self.wanting.is_empty() {
-            out.push(Effect::NeedWhole);
-        }
-        if self.wanting.len() < WANTING_MAX && !self.wanting.contains(&from) {
-            self.wanting.push(from);
-        }
-    }
-
-    fn whole_told(&mut self, index: Index, data: Vec<u8>, out: &mut Vec<Effect>) {
-        // No command lies between the last one told and a later entry of the log.
-        let index = index.min(self.index);
-        self.whole_bytes = data.len();
-        for to in std::mem::take(&mut self.wanting) {
-            self.send_whole(to, index, &data, out);
-        }
-        self.kept = Some(Kept { index, data, at: self.now });
-    }
-
-    fn whole(&mut self, from: Place, index: Index, data: Vec<u8>, out: &mut Vec<Effect>) {
-        if self.mode == Mode::Source || index <= self.index {
-            return;
-        }
-        self.whole_bytes = data.len();
-        self.ring.clear();
-        self.advance(index, 0);
-        out.push(Effect::Restore { index, data });
-        self.apply_early(out);
-        self.go_on(from, false, true, out);
-    }
-
-    // ---- asking ----
-
-    /// After something came: done, or the rest is asked of whom it came from, at the end of its answer.
-    fn go_on(&mut self, from: Place, more: bool, progress: bool, out: &mut Vec<Effect>) {
-        if self.index >= self.known {
-            self.asked = None;
-            self.tellers.clear();
-            return;
-        }
-        let (now, wait) = (self.now, self.wait(0));
-        match &mut self.asked {
-            None => self.ask(from, 0, false, out),
-            Some(asked) if asked.from != from || !progress => {}
-            Some(asked) if more => (asked.until, asked.tries) = (now + wait, 0),
-            Some(asked) => {
-                let fresh = asked.fresh;
-                self.ask(from, 0, fresh, out);
-            }
-        }
-    }
-
-    fn wait(&self, tries: u32) -> Micros {
-        let base = if self.ring.is_empty() { 2 * ASK_BASE } else { ASK_BASE };
-        base * Micros::from(1 + tries) + Micros::from(self.known_weight) * ASK_BYTE
-    }
-
-    fn ask(&mut self, from: Place, tries: u32, fresh: bool, out: &mut Vec<Effect>) {
-        let until = self.now + self.wait(tries);
-        self.asked = Some(Asked { from, at: self.now, until, tries, fresh, told: 0 });
-        self.gaps.asks += 1;
-        out.push(Effect::Send { to: from, message: Message::Want { have: self.index } });
-    }
-
-    /// Whoever was asked holds no more than is held here.
-    fn nothing_there(&mut self, out: &mut Vec<Effect>) {
-        if self.index >= self.known {
-            self.asked = None;
-        } else {
-            self.ask_another(out);
-        }
-    }
-
-    /// Nothing came: another teller is asked, or a hub by chance. Where nothing is known to be missing and a
-    /// hub is silent, the digests go on asking.
-    fn ask_another(&mut self, out: &mut Vec<Effect>) {
-        let Some(asked) = self.asked.take() else { return };
-        if self.index >= self.known && asked.tries >= ASK_TRIES_MAX {
-            return;
-        }
-        self.tellers.retain(|(place, index)| *place != asked.from && *index > self.index);
-        let other = self.tellers.pop().map(|(place, _)| place);
-        let other = other.or_else(|| pick(&mut self.rand, &self.hubs));
-        if let Some(other) = other.or_else(|| pick(&mut self.rand, &self.others)) {
-            out.push(Effect::Insist { to: other });
-            self.ask(other, (asked.tries + 1).min(ASK_TRIES_MAX), asked.fresh, out);
-        }
-    }
-
-    // ---- telling ----
-
-    fn tell(&mut self, to: Place, fresh: bool, out: &mut Vec<Effect>) {
-        let message = Message::Have { index: self.index, weight: self.ring.weight(), fresh };
-        out.push(Effect::Send { to, message });
-    }
-
-    /// A piece that was new here goes on to a few others, or they hear of it. Each node passes a piece on once.
-    fn pass_on(&mut self, from: Place, piece: &Piece, out: &mut Vec<Effect>) {
-        let big = piece.data.len() > SMALL_BYTES;
-        if big && piece.prev > self.index {
-            return;
-        }
-        let fanout = if big { PASS_ON_BIG } else { PASS_ON };
-        let mut to = self.others.clone();
-        to.retain(|place| *place != from);
-        shuffle(&mut self.rand, &mut to);
-        for to in to.into_iter().take(fanout) {
-            let message = if big {
-                Message::Have { index: piece.index, weight: piece.data.len() as u32, fresh: true }
-            } else {
-                Message::Pieces { fresh: true, more: false, pieces: vec![piece.clone()] }
-            };
-            out.push(Effect::Send { to, message });
-        }
-    }
-
-    /// What follows `have`: small ones together, each message small enough for a datagram unless one piece isn't.
-    fn send_pieces(&mut self, to: Place, have: Index, out: &mut Vec<Effect>) {
-        let mut pieces = Vec::new();
-        let (mut bytes, mut all) = (0, 0);
-        for piece in self.ring.after(have) {
-            let more = piece.data.len() + PIECE_HEAD;
-            if all > 0 && all + more > ANSWER_BYTES_MAX {
-                break;
-            }
-            if !pieces.is_empty() && bytes + more > SMALL_BYTES + PIECE_HEAD {
-                let pieces = std::mem::take(&mut pieces);
-                out.push(Effect::Send { to, message: Message::Pieces { fresh: false, more: true, pieces } });
-                bytes = 0;
-            }
-            bytes += more;
-            all += more;
-            pieces.push(piece.clone());
-        }
-        if !pieces.is_empty() {
-            out.push(Effect::Send { to, message: Message::Pieces { fresh: false, more: false, pieces } });
-        }
-    }
 }
 
 /// The most that a piece takes on the wire beside its data.
--- /dev/null
+++ b/crates/callboard/src/node/telling.rs
@@ -0,0 +1,76 @@
+//! Telling others: what is held here, what they lack, and fresh commands on their way.
+
+use super::*;
+
+impl Callboard {
+    /// Somebody holds less: little is sent at once, of much it is told that it is here.
+    pub(super) fn mend(&mut self, to: Place, have: Index, out: &mut Vec<Effect>) {
+        match self.ring.missing(have) {
+            (1.., bytes) if bytes <= SMALL_BYTES => self.send_pieces(to, have, out),
+            _ => self.tell(to, false, out),
+        }
+    }
+
+    pub(super) fn want(&mut self, from: Place, have: Index, out: &mut Vec<Effect>) {
+        self.unacknowledged.holds(from, have);
+        if have >= self.index {
+            self.heard_of(from, have, 0);
+            self.tell(from, false, out);
+            return;
+        }
+        let whole_is_less = |bytes: usize| bytes > WHOLE_ABOVE && bytes > self.whole_bytes;
+        match self.ring.missing(have) {
+            (0, _) => self.need_whole(from, out),
+            (2.., bytes) if whole_is_less(bytes) => self.need_whole(from, out),
+            _ => self.send_pieces(from, have, out),
+        }
+    }
+
+    pub(super) fn tell(&mut self, to: Place, fresh: bool, out: &mut Vec<Effect>) {
+        let message = Message::Have { index: self.index, weight: self.ring.weight(), fresh };
+        out.push(Effect::Send { to, message });
+    }
+
+    /// A piece that was new here goes on to a few others, or they hear of it. Each node passes a piece on once.
+    pub(super) fn pass_on(&mut self, from: Place, piece: &Piece, out: &mut Vec<Effect>) {
+        let big = piece.data.len() > SMALL_BYTES;
+        if big && piece.prev > self.index {
+            return;
+        }
+        let fanout = if big { PASS_ON_BIG } else { PASS_ON };
+        let mut to = self.others.clone();
+        to.retain(|place| *place != from);
+        shuffle(&mut self.rand, &mut to);
+        for to in to.into_iter().take(fanout) {
+            let message = if big {
+                Message::Have { index: piece.index, weight: piece.data.len() as u32, fresh: true }
+            } else {
+                Message::Pieces { fresh: true, more: false, pieces: vec![piece.clone()] }
+            };
+            out.push(Effect::Send { to, message });
+        }
+    }
+
+    /// What follows `have`: small ones together, each message small enough for a datagram unless one piece isn't.
+    pub(super) fn send_pieces(&mut self, to: Place, have: Index, out: &mut Vec<Effect>) {
+        let mut pieces = Vec::new();
+        let (mut bytes, mut all) = (0, 0);
+        for piece in self.ring.after(have) {
+            let more = piece.data.len() + PIECE_HEAD;
+            if all > 0 && all + more > ANSWER_BYTES_MAX {
+                break;
+            }
+            if !pieces.is_empty() && bytes + more > SMALL_BYTES + PIECE_HEAD {
+                let pieces = std::mem::take(&mut pieces);
+                out.push(Effect::Send { to, message: Message::Pieces { fresh: false, more: true, pieces } });
+                bytes = 0;
+            }
+            bytes += more;
+            all += more;
+            pieces.push(piece.clone());
+        }
+        if !pieces.is_empty() {
+            out.push(Effect::Send { to, message: Message::Pieces { fresh: false, more: false, pieces } });
+        }
+    }
+}
