--- a/crates/extras/src/change.rs
+++ b/crates/extras/src/change.rs
@@ -1,4 +1,4 @@
-//! Change (one, at full size): the real callboards of all nodes alone, over links of a given rate, and one command
+//! Change (one, at full size): the real replications of all nodes alone, over links of a given rate, and one command
 //! that is as long as a whole configuration. What each link carries, and when the last gateway has it.
 
 use std::cmp::Reverse;
@@ -6,8 +6,8 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-use callboard::{Callboard, Effect, Event, Message, Mode, Piece};
 use props::{Index, MS, Micros, Place, SECOND};
+use replication::{Effect, Event, Message, Mode, Piece, Replicator};
 
 use crate::size::ZONES;
 use crate::world::{on_wire, region};
@@ -58,7 +58,7 @@
 struct Board {
     place: Place,
     zone: usize,
-    board: Callboard,
+    board: Replicator,
     tick_at: Micros,
     up: Micros,
     down: Micros,
@@ -106,7 +106,7 @@
         for at in 0..all {
             let place = Place(Ipv4Addr::new(10, 0, (at / 200) as u8, (at % 200) as u8 + 1));
             let mode = if at < self.plan.prompters { Mode::Source } else { Mode::Follower };
-            let board = Callboard::start(place, mode, Index(0), self.plan.seed ^ at as u64, 0);
+            let board = Replicator::start(place, mode, Index(0), self.plan.seed ^ at as u64, 0);
             self.by_place.insert(place, at);
             let zone = at % ZONES;
             let (tick_at, has) = (Micros::MAX, None);
--- a/crates/extras/src/kind.rs
+++ b/crates/extras/src/kind.rs
@@ -78,12 +78,12 @@
             company::Talk::Compare { .. } => 8,
         },
         Word::Board(message) => match message {
-            callboard::Message::Pieces { .. } => 9,
-            callboard::Message::Have { .. } => 10,
-            callboard::Message::Want { .. } => 11,
-            callboard::Message::Whole { .. } => 12,
-            callboard::Message::Prove => 45,
-            callboard::Message::Proof { .. } => 46,
+            replication::Message::Pieces { .. } => 9,
+            replication::Message::Have { .. } => 10,
+            replication::Message::Want { .. } => 11,
+            replication::Message::Whole { .. } => 12,
+            replication::Message::Prove => 45,
+            replication::Message::Proof { .. } => 46,
         },
         Word::Cast(message) => match message {
             cast::Message::News { .. } => 13,
--- a/crates/extras/src/main.rs
+++ b/crates/extras/src/main.rs
@@ -60,7 +60,7 @@
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// One change as long as a whole configuration, by the callboards of all nodes alone.
+    /// One change as long as a whole configuration, by the replications of all nodes alone.
     Change {
         #[arg(long, default_value_t = 880)]
         gateways: usize,
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -334,11 +334,11 @@
         let proved = self.book.proved();
         let voters = u8::try_from(self.book.members().0.len()).unwrap_or(u8::MAX);
         let standing = match proved {
-            Some((term, at)) => callboard::Standing::Proved { term, age: (now - at).max(0) },
+            Some((term, at)) => replication::Standing::Proved { term, age: (now - at).max(0) },
             None if self.book.is_member() && self.book.leader().is_none() => {
-                callboard::Standing::Started { voters }
+                replication::Standing::Started { voters }
             }
-            None => callboard::Standing::Unproved,
+            None => replication::Standing::Unproved,
         };
         let leader = self.book.leader().map(|seat| seat.place);
         self.house.stands(now, standing, proved.map(|(_, at)| at), leader);
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -440,7 +440,7 @@
                     self.script_changed(now);
                     self.tell_usher(now);
                 }
-                // The callboard asks by its own digests; `ready` reads the ward's door.
+                // The replication asks by its own digests; `ready` reads the ward's door.
                 usher::Effect::Ward(ward::Effect::AskAgain | ward::Effect::Open(_)) => {}
                 // For the driver, in the next step.
                 usher::Effect::Ward(ward::Effect::Restart) | usher::Effect::Look { .. } => {}
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -5,10 +5,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
 
-use callboard::Callboard;
 use cast::Cast;
 use company::{Company, Member, Part, Standing};
 use props::{Ask, Carrier, Edition, Form, Index, MS, Micros, Place, SECOND, Seat};
+use replication::Replicator;
 use script::{Broken, Outcome, Script};
 use serde::{Deserialize, Serialize};
 
@@ -18,7 +18,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Word {
     Company(company::Message),
-    Board(callboard::Message),
+    Board(replication::Message),
     Cast(cast::Message),
     Book {
         from: Seat,
@@ -153,7 +153,7 @@
 pub struct House {
     pub own: Member,
     pub company: Company,
-    pub board: Callboard,
+    pub board: Replicator,
     pub cast: Cast,
     pub script: Script,
     unreadable: Option<Unreadable>,
@@ -186,11 +186,11 @@
     /// beats; `seed` moves all that is left to chance.
     pub fn start(own: Member, seeds: Vec<Place>, beat: Micros, seed: u64, now: Micros) -> House {
         let mode = match own.part {
-            Part::Prompter => callboard::Mode::Source,
-            Part::Foyer => callboard::Mode::Follower,
+            Part::Prompter => replication::Mode::Source,
+            Part::Foyer => replication::Mode::Follower,
         };
         let (company, effects) = Company::start(own.clone(), seeds, company::Timing::usual(), seed, now);
-        let board = Callboard::start(own.place, mode, Index(0), seed ^ 1, now);
+        let board = Replicator::start(own.place, mode, Index(0), seed ^ 1, now);
         let cast = Cast::start(own.place, cast::Timing::of_heartbeat(beat), seed ^ 2, now);
         let script = Script::reading(own.edition.forms);
         let mut house = House {
@@ -353,10 +353,10 @@
     }
 
     /// Notes what a node tells that it holds, for those who look after the system; nothing is decided by it.
-    fn heard_that_it_holds(&mut self, now: Micros, from: Place, message: &callboard::Message) {
+    fn heard_that_it_holds(&mut self, now: Micros, from: Place, message: &replication::Message) {
         let index = match message {
-            callboard::Message::Have { index, .. } => *index,
-            callboard::Message::Want { have, .. } => *have,
+            replication::Message::Have { index, .. } => *index,
+            replication::Message::Want { have, .. } => *have,
             _ => return,
         };
         // Bounded by those who are known; others are no nodes of this system yet.
@@ -403,7 +403,7 @@
     pub fn proved(&self) -> bool {
         let hubs = self.up(Part::Prompter);
         let mut forms = hubs.iter().filter_map(|place| self.heard.get(place)).peekable();
-        let knows = callboard::Message::Prove.since();
+        let knows = replication::Message::Prove.since();
         self.board.proved() || (forms.peek().is_some() && forms.all(|form| *form < knows))
     }
 
@@ -416,14 +416,15 @@
     /// How this prompter stands to a majority, when it was last in touch with one by what it heard, and who leads. A
     /// leader that reads form 2 is asked whether it hears this node.
     pub fn stands(
-        &mut self, now: Micros, standing: callboard::Standing, proved: Option<Micros>, leader: Option<Place>,
+        &mut self, now: Micros, standing: replication::Standing, proved: Option<Micros>,
+        leader: Option<Place>,
     ) {
-        let effects = self.board.step(now, callboard::Event::Stands { standing });
+        let effects = self.board.step(now, replication::Event::Stands { standing });
         self.board_did(now, effects);
         let asked = leader.filter(|place| {
-            *place != self.own.place && self.shared(*place) >= callboard::Message::Prove.since()
+            *place != self.own.place && self.shared(*place) >= replication::Message::Prove.since()
         });
-        let effects = self.board.step(now, callboard::Event::Follows { leader: asked });
+        let effects = self.board.step(now, replication::Event::Follows { leader: asked });
         self.board_did(now, effects);
         // One that leads knows it by answers; with an older leader nothing better is to be had.
         self.touch = proved.filter(|_| leader.is_some()).map(|at| (at, asked.is_some()));
@@ -454,7 +455,7 @@
         }
         self.tell_strain(now);
         if self.board.due() <= now {
-            let effects = self.board.step(now, callboard::Event::Tick);
+            let effects = self.board.step(now, replication::Event::Tick);
             self.board_did(now, effects);
         }
         if self.cast.due() <= now {
@@ -474,7 +475,7 @@
             return;
         }
         self.strained = strained;
-        let effects = self.board.step(now, callboard::Event::Strained { strained });
+        let effects = self.board.step(now, replication::Event::Strained { strained });
         self.board_did(now, effects);
         let effects = self.cast.step(now, cast::Event::Strained { strained });
         self.cast_did(effects);
@@ -519,7 +520,7 @@
             Word::Board(message) => {
                 self.heard_that_it_holds(now, from, &message);
                 let before = self.board.contact();
-                let effects = self.board.step(now, callboard::Event::Received { from, message });
+                let effects = self.board.step(now, replication::Event::Received { from, message });
                 self.board_did(now, effects);
                 if self.board.contact() != before {
                     self.tell_touch(now);
@@ -565,14 +566,14 @@
     /// A command that this node's own log has committed.
     pub fn committed(&mut self, now: Micros, index: Index, data: Vec<u8>, ask: Option<Ask>) {
         self.apply(now, index, &data, ask);
-        let effects = self.board.step(now, callboard::Event::Committed { index, data });
+        let effects = self.board.step(now, replication::Event::Committed { index, data });
         self.board_did(now, effects);
     }
 
     /// A state that this node's own log holds.
     pub fn restored(&mut self, now: Micros, index: Index, data: Vec<u8>) {
         self.restore(now, index, &data);
-        let effects = self.board.step(now, callboard::Event::Restored { index });
+        let effects = self.board.step(now, replication::Event::Restored { index });
         self.board_did(now, effects);
     }
 
@@ -630,7 +631,7 @@
             self.heard.retain(|place, _| company.member(*place).is_some());
             self.holds.retain(|place, _| company.member(*place).is_some());
             let (hubs, others) = (self.up(Part::Prompter), self.up(Part::Foyer));
-            let event = callboard::Event::Peers { hubs: hubs.clone(), others: others.clone() };
+            let event = replication::Event::Peers { hubs: hubs.clone(), others: others.clone() };
             let effects = self.board.step(now, event);
             self.board_did(now, effects);
             let own = (self.own.part == Part::Prompter).then_some(self.own.place);
@@ -641,7 +642,7 @@
         }
     }
 
-    fn board_did(&mut self, now: Micros, effects: Vec<callboard::Effect>) {
+    fn board_did(&mut self, now: Micros, effects: Vec<replication::Effect>) {
         if let Some(gap) = self.board.closed_gap().filter(|gap| gap.lasted >= GAP_TOLD) {
             let (index, lasted) = (self.board.index().0, gap.lasted / MS);
             log::warn!(
@@ -651,13 +652,13 @@
         }
         for effect in effects {
             match effect {
-                callboard::Effect::Send { to, message } => self.send(to, Word::Board(message)),
-                callboard::Effect::Insist { to } => self.paths.insist(now, to),
-                callboard::Effect::Apply { index, data } => self.apply(now, index, &data, None),
-                callboard::Effect::Restore { index, data } => self.restore(now, index, &data),
-                callboard::Effect::NeedWhole => {
+                replication::Effect::Send { to, message } => self.send(to, Word::Board(message)),
+                replication::Effect::Insist { to } => self.paths.insist(now, to),
+                replication::Effect::Apply { index, data } => self.apply(now, index, &data, None),
+                replication::Effect::Restore { index, data } => self.restore(now, index, &data),
+                replication::Effect::NeedWhole => {
                     let (index, data) = (self.script.index(), self.script.snapshot());
-                    let effects = self.board.step(now, callboard::Event::Kept { index, data });
+                    let effects = self.board.step(now, replication::Event::Kept { index, data });
                     self.board_did(now, effects);
                 }
             }
--- a/crates/playhouse/src/ring.rs
+++ b/crates/playhouse/src/ring.rs
@@ -28,7 +28,7 @@
 pub const OWN: [&str; 11] = [
     "playhouse",
     "promptbook",
-    "callboard",
+    "replication",
     "company",
     "cast",
     "script",
--- a/crates/playhouse/tests/metrics.rs
+++ b/crates/playhouse/tests/metrics.rs
@@ -2,11 +2,11 @@
 
 use std::net::Ipv4Addr;
 
-use callboard::{Message, Piece};
 use company::{Member, Part};
 use playhouse::house::{House, Word};
 use playhouse::metrics::Metrics;
 use props::{Carrier, Edition, Index, Life, MS, Place, SECOND};
+use replication::{Message, Piece};
 use wings::PostStats;
 
 fn place(node: u8) -> Place {
--- a/crates/callboard/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,10 +1,10 @@
-//! Callboard (news): the committed commands reach every node in order: passed on to a few, gaps mended by
+//! Replication (of ordered news): the committed commands reach every node in order: passed on to a few, gaps mended by
 //! digests, whole states where pieces are missing, never back within a life. No I/O: time and events in,
 //! effects out.
 //!
 //! Commands form a chain of pieces, each naming the index of the command before it, since indices of the log
 //! have gaps where entries are no commands. A piece fits where its `prev` is not above what is held and its
-//! `index` is. `docs/callboard.md` tells the ways that were weighed.
+//! `index` is. `docs/replication.md` tells the ways that were weighed.
 
 mod bytes;
 mod gap;
@@ -14,7 +14,7 @@
 mod ring;
 
 pub use gap::{Gap, Stats};
-pub use node::Callboard;
+pub use node::Replicator;
 use props::{Form, Index, Micros, Place, Term};
 use serde::{Deserialize, Serialize};
 
--- a/crates/callboard/src/node/asking.rs
+++ b/crates/replication/src/node/asking.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Callboard {
+impl Replicator {
     /// Whether one that tells of news now is rather to be asked than the one that has been asked and has said nothing: a
     /// word of it has just come through. Where much is missing it is waited for, as a second copy would slow down the first.
     pub(super) fn asked_in_vain(&self, teller: Place) -> bool {
--- a/crates/callboard/src/node/mod.rs
+++ b/crates/replication/src/node/mod.rs
@@ -80,7 +80,7 @@
 }
 
 /// What this node holds of the ordered news, and whom it asks and tells.
-pub struct Callboard {
+pub struct Replicator {
     own: Place,
     mode: Mode,
     index: Index,
@@ -128,13 +128,13 @@
     now: Micros,
 }
 
-impl Callboard {
+impl Replicator {
     /// A board that holds all up to `start` and neither sends nor applies anything below it. Times are of a
     /// steady clock in microseconds, `seed` is for chance.
-    pub fn start(own: Place, mode: Mode, start: Index, seed: u64, now: Micros) -> Callboard {
+    pub fn start(own: Place, mode: Mode, start: Index, seed: u64, now: Micros) -> Replicator {
         let mut rand = Rand64::new(u128::from(seed));
         let next_digest = now + rand.rand_range(0..DIGEST_SOON as u64) as Micros;
-        Callboard {
+        Replicator {
             own,
             mode,
             index: start,
--- a/crates/callboard/src/node/source.rs
+++ b/crates/replication/src/node/source.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-impl Callboard {
+impl Replicator {
     /// The others that this hub pushes to: each belongs to one hub, and to the next one as well where others are
     /// few. All hubs that know the same nodes come to the same shares.
     pub(super) fn share(&self) -> Vec<Place> {
--- a/crates/callboard/src/node/telling.rs
+++ b/crates/replication/src/node/telling.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Callboard {
+impl Replicator {
     /// Somebody holds less: little is sent at once, of much it is told that it is here.
     pub(super) fn mend(&mut self, to: Place, have: Index, out: &mut Vec<Effect>) {
         match self.ring.missing(have) {
--- a/crates/callboard/src/node/whole.rs
+++ b/crates/replication/src/node/whole.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Callboard {
+impl Replicator {
     /// Whether a whole state of so many bytes may be sent now; counts it.
     pub(super) fn may_send(&mut self, bytes: usize) -> bool {
         let earned = (self.now - self.may_send.1) / MS * WHOLES_MILLI;
