--- a/crates/bill/src/lib.rs
+++ b/crates/bill/src/lib.rs
@@ -12,7 +12,7 @@
 pub use faults::{Fault, Faults, MAX_FAULTS};
 use indexmap::IndexMap;
 pub use json::too_deep;
-pub use props::{Micros, Version};
+pub use types::{Micros, Version};
 
 /// The largest configuration or change that is read, in bytes. 310 routes take about 120 KB.
 pub const MAX_BYTES: usize = 8 << 20;
--- a/crates/bill/src/read.rs
+++ b/crates/bill/src/read.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 
 use indexmap::IndexMap;
-use props::{Micros, SECOND, Version};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
+use types::{Micros, SECOND, Version};
 
 use crate::faults::{Faults, quoted};
 use crate::{Kind, Limits, Order, Route, Service, Target, routes};
--- a/crates/cast/src/cast.rs
+++ b/crates/cast/src/cast.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 use oorandom::Rand32;
-use props::{Ask, MS, Micros, Place, SECOND};
+use types::{Ask, MS, Micros, Place, SECOND};
 
 use comparing::Comparison;
 
@@ -657,7 +657,7 @@
     /// Foyers that this hub tells: those that watch it, and its share of those that can't choose.
     fn served(&self, owners: usize) -> Vec<Place> {
         let unwatching = self.unwatching.as_ref().unwrap_or(&self.others);
-        let share = props::share(self.own, &self.hubs, unwatching, owners);
+        let share = types::share(self.own, &self.hubs, unwatching, owners);
         let mut served = self.watched_by.clone();
         served.extend(share.into_iter().filter(|place| !self.watched_by.contains(place)));
         served
--- a/crates/cast/src/cast/comparing.rs
+++ b/crates/cast/src/cast/comparing.rs
@@ -1,7 +1,7 @@
 //! Comparing copies of the list: digests over ranges, keys where they differ, records where one is newer. A foyer takes no
 //! silence for an answer.
 
-use props::{MS, Micros, Place};
+use types::{MS, Micros, Place};
 
 use super::{COMPARE_SPREAD, Cast, FIRST_ASK, FIRST_ASKS, GATHER, give};
 use crate::{Effect, Key, Message};
--- a/crates/cast/src/drains.rs
+++ b/crates/cast/src/drains.rs
@@ -1,6 +1,6 @@
 //! Drains in flight: who was told, who has answered, who waits for the acknowledgement.
 
-use props::{Ask, MS, Micros, Place, SECOND};
+use types::{Ask, MS, Micros, Place, SECOND};
 
 use crate::InstanceId;
 
--- a/crates/cast/src/lib.rs
+++ b/crates/cast/src/lib.rs
@@ -11,8 +11,8 @@
 
 use std::net::SocketAddrV4;
 
-use props::{Ask, Form, MS, Micros, Place, SECOND};
 use serde::{Deserialize, Serialize};
+use types::{Ask, Form, MS, Micros, Place, SECOND};
 
 pub use cast::Cast;
 
--- a/crates/cast/src/list.rs
+++ b/crates/cast/src/list.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use indexmap::IndexMap;
-use props::{Micros, Place, SECOND};
+use types::{Micros, Place, SECOND};
 
 use crate::{BUCKETS, Beat, InstanceId, Key, Known, LONGEST, Record, State};
 
--- a/crates/cast/tests/earlier_life.rs
+++ b/crates/cast/tests/earlier_life.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use cast::{BUCKETS, Beat, Cast, Effect, Event, InstanceId, Key, Message, State, Timing};
-use props::{Ask, MS, Micros, Place, SECOND};
+use types::{Ask, MS, Micros, Place, SECOND};
 
 fn place(node: u8) -> Place {
     Place(Ipv4Addr::new(10, 0, 0, node))
--- a/crates/cast/tests/views.rs
+++ b/crates/cast/tests/views.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use cast::{InstanceId, State};
-use props::{Micros, SECOND};
+use types::{Micros, SECOND};
 use world::World;
 
 const LEAVING: [State; 2] = [State::Draining, State::Gone];
--- a/crates/cast/tests/world/mod.rs
+++ b/crates/cast/tests/world/mod.rs
@@ -5,7 +5,7 @@
 
 use cast::{Beat, Cast, Effect, Event, InstanceId, Message, Record, State, Timing};
 use oorandom::Rand32;
-use props::{Ask, MS, Micros, Place, SECOND};
+use types::{Ask, MS, Micros, Place, SECOND};
 
 pub const BEAT: Micros = 1_500 * MS;
 /// How long until nodes hear from their membership that one is up, down or out of reach.
--- a/crates/company/src/lib.rs
+++ b/crates/company/src/lib.rs
@@ -9,9 +9,9 @@
 mod timing;
 
 pub use node::Company;
-use props::{Edition, Life, Place};
 use serde::{Deserialize, Serialize};
 pub use timing::Timing;
+use types::{Edition, Life, Place};
 
 /// Members known at once; the dead and gone make room first, then newcomers are not taken in.
 pub const MEMBERS_MAX: usize = 512;
--- a/crates/company/src/news.rs
+++ b/crates/company/src/news.rs
@@ -1,6 +1,6 @@
 //! News (gossip queue): which places there is news about, and how often it was told.
 
-use props::Place;
+use types::Place;
 
 /// What the current word on a place is gets looked up when it is sent, so that only the newest is told.
 #[derive(Debug, Default)]
--- a/crates/company/src/node.rs
+++ b/crates/company/src/node.rs
@@ -1,7 +1,7 @@
 //! One node's membership: explicit states, and one function for each change of state.
 
 use oorandom::Rand64;
-use props::{Life, MS, Micros, Place};
+use types::{Life, MS, Micros, Place};
 
 use crate::news::News;
 use crate::roster::{Peer, Roster, Worth, digest_of, mix, range_of, weigh};
--- a/crates/company/src/roster.rs
+++ b/crates/company/src/roster.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use props::{Life, MS, Micros, Place};
+use types::{Life, MS, Micros, Place};
 
 use crate::{Incarnation, MEMBERS_MAX, Member, Rumor, Standing};
 
--- a/crates/company/src/timing.rs
+++ b/crates/company/src/timing.rs
@@ -1,6 +1,6 @@
 //! Timing (time-outs and paces of membership), in microseconds.
 
-use props::{MS, Micros, SECOND};
+use types::{MS, Micros, SECOND};
 
 /// Paces and time-outs; `usual` is made for 15 to 70 small machines on links that lose a datagram now and then.
 #[derive(Clone, Debug)]
--- a/crates/company/tests/earlier_life.rs
+++ b/crates/company/tests/earlier_life.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use company::{Company, Effect, Event, Incarnation, Member, Message, Number, Part, Standing, Talk, Timing};
-use props::{Edition, Life, MS, Micros, Place, SECOND};
+use types::{Edition, Life, MS, Micros, Place, SECOND};
 
 fn member(node: u8, life: u64) -> Member {
     Member {
--- a/crates/company/tests/world.rs
+++ b/crates/company/tests/world.rs
@@ -9,7 +9,7 @@
     Standing, Talk, Timing,
 };
 use oorandom::Rand64;
-use props::{Edition, Life, MS, Micros, Place, SECOND};
+use types::{Edition, Life, MS, Micros, Place, SECOND};
 
 pub fn place(node: usize) -> Place {
     Place(Ipv4Addr::new(10, 0, 0, node as u8))
--- a/crates/extras/src/change.rs
+++ b/crates/extras/src/change.rs
@@ -6,8 +6,8 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-use props::{Index, MS, Micros, Place, SECOND};
 use replication::{Effect, Event, Message, Mode, Piece, Replicator};
+use types::{Index, MS, Micros, Place, SECOND};
 
 use crate::size::ZONES;
 use crate::world::{on_wire, region};
--- a/crates/extras/src/main.rs
+++ b/crates/extras/src/main.rs
@@ -16,7 +16,7 @@
 use extras::text;
 use extras::world::PhaseRow;
 use indicatif::{ProgressBar, ProgressStyle};
-use props::Micros;
+use types::Micros;
 
 #[global_allocator]
 static HEAP: peak_alloc::PeakAlloc = peak_alloc::PeakAlloc;
--- a/crates/extras/src/size.rs
+++ b/crates/extras/src/size.rs
@@ -1,7 +1,7 @@
 //! Size (of a hollow fleet): what is varied, within the bounds of what can be asked for.
 
-use props::{MS, Micros, SECOND};
 use serde::Serialize;
+use types::{MS, Micros, SECOND};
 
 /// How large a fleet is, and how its day goes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
--- a/crates/extras/src/sockets/part.rs
+++ b/crates/extras/src/sockets/part.rs
@@ -11,10 +11,10 @@
 use cpu_time::ProcessTime;
 use playhouse::control::Told as Answer;
 use playhouse::settings::Settings;
-use props::{Ask, Micros, Place, Version};
 use script::{Command, Outcome};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
+use types::{Ask, Micros, Place, Version};
 use wings::{Arrived, Incoming, Post, PostLimits};
 
 use super::{Plan, Told, wall};
--- a/crates/extras/src/sweep.rs
+++ b/crates/extras/src/sweep.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use plotters::prelude::*;
-use props::{MS, Micros, SECOND};
 use serde::{Deserialize, Serialize};
+use types::{MS, Micros, SECOND};
 
 use crate::size::Size;
 use crate::tally::{Phase, Role};
--- a/crates/extras/src/table.rs
+++ b/crates/extras/src/table.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use props::{Micros, SECOND};
+use types::{Micros, SECOND};
 
 use crate::fit::{self, At, Fit, Term};
 use crate::size::Size;
--- a/crates/extras/src/world.rs
+++ b/crates/extras/src/world.rs
@@ -17,8 +17,8 @@
 use peak_alloc::PeakAlloc;
 use playhouse::settings::Settings;
 use promptbook::Write;
-use props::{MS, Micros, Place, SECOND};
 use rehearsal::queue::Queue;
+use types::{MS, Micros, Place, SECOND};
 
 use crate::kind;
 use crate::size::{REGIONS, Size, ZONES};
--- a/crates/extras/src/world/callers.rs
+++ b/crates/extras/src/world/callers.rs
@@ -5,8 +5,8 @@
 use cast::{Beat, InstanceId};
 use garnetdoor::host::{Ending, TicketId, TripNo};
 use playhouse::control::Told;
-use props::{Ask, MS, Micros, Place, SECOND, Version};
 use script::{Command, Outcome};
+use types::{Ask, MS, Micros, Place, SECOND, Version};
 
 use super::{Event, World};
 use crate::kind;
--- a/crates/extras/src/world/node.rs
+++ b/crates/extras/src/world/node.rs
@@ -9,8 +9,8 @@
 use playhouse::house::{House, Letter};
 use playhouse::settings::{Settings, micros};
 use promptbook::{Members, Saved, Write, WriteNo};
-use props::{Ask, Carrier, Life, Micros, Place, Seat};
 use script::Command;
+use types::{Ask, Carrier, Life, Micros, Place, Seat};
 
 use super::report::Spent;
 use crate::kind;
@@ -141,7 +141,7 @@
             part,
             zone: format!("zone-{}", self.zone),
             name: format!("{}-{at:04}", if self.prompter { "prompter" } else { "gateway" }),
-            edition: props::Edition::OWN,
+            edition: types::Edition::OWN,
         };
         let beat = micros(settings.heartbeat_s);
         let house = House::start(member, seeds.to_vec(), beat, seed, 0);
--- a/crates/extras/tests/fit.rs
+++ b/crates/extras/tests/fit.rs
@@ -4,8 +4,8 @@
 use extras::size::Size;
 use extras::tally::{Phase, Role};
 use extras::world::{PhaseRow, World};
-use props::SECOND;
 use std::time::Duration;
+use types::SECOND;
 
 const COST: Cost = Cost {
     name: "made up",
--- a/crates/extras/tests/fleet.rs
+++ b/crates/extras/tests/fleet.rs
@@ -6,7 +6,7 @@
 use extras::size::Size;
 use extras::tally::{Phase, Role};
 use extras::world::World;
-use props::SECOND;
+use types::SECOND;
 
 fn played(size: Size) -> World {
     let mut world = World::new(size, Duration::from_secs(60));
--- a/crates/extras/tests/heap.rs
+++ b/crates/extras/tests/heap.rs
@@ -8,7 +8,7 @@
 use extras::size::Size;
 use extras::tally::{Phase, Role};
 use extras::world::World;
-use props::SECOND;
+use types::SECOND;
 
 #[test]
 fn a_gateway_holds_more_with_more_routes_and_more_still_while_they_change() {
--- a/crates/intent/examples/fleet/world.rs
+++ b/crates/intent/examples/fleet/world.rs
@@ -15,7 +15,7 @@
     ward, witness,
 };
 use oorandom::Rand64;
-use props::{Index, Life, MS, Micros, Place, SECOND, Term};
+use types::{Index, Life, MS, Micros, Place, SECOND, Term};
 
 /// How a gateway goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/intent/src/inspector.rs
+++ b/crates/intent/src/inspector.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use props::{Life, Micros, Place, Term};
+use types::{Life, Micros, Place, Term};
 
 use crate::judge::{self, Member, State, Why};
 use crate::parts::{Intent, Part};
--- a/crates/intent/src/judge.rs
+++ b/crates/intent/src/judge.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use props::{Index, Life, Micros, Place};
+use types::{Index, Life, Micros, Place};
 
 use crate::parts::{Intent, Part};
 use crate::witness::Report;
--- a/crates/intent/src/lib.rs
+++ b/crates/intent/src/lib.rs
@@ -15,9 +15,9 @@
 pub use inspector::Inspector;
 pub use judge::{Judge, State};
 pub use parts::{Act, Digest, Intent, Part, RouteKey, ServiceKey, Took};
-use props::{Index, Life, Micros, Place};
 pub use remedy::{Fence, Remedy, Step};
 use serde::{Deserialize, Serialize};
+use types::{Index, Life, Micros, Place};
 pub use usher::Usher;
 pub use ward::Ward;
 pub use witness::{Report, Witness};
@@ -117,7 +117,7 @@
             witnesses: 3,
             rounds: 4,
             opinions: 4,
-            calm: 10 * props::SECOND,
+            calm: 10 * types::SECOND,
         }
     }
 }
--- a/crates/intent/src/parts.rs
+++ b/crates/intent/src/parts.rs
@@ -3,9 +3,9 @@
 //! shows of an intent is an `Act`, and `Row::chance` tells how likely it is under one.
 
 use bill::{Bill, Kind, Route};
-use props::Index;
 use script::Rollout;
 use serde::{Deserialize, Serialize};
+use types::Index;
 
 use crate::mix;
 
--- a/crates/intent/src/remedy.rs
+++ b/crates/intent/src/remedy.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use props::{Index, Life, Micros, Place, SECOND, Term};
 use serde::{Deserialize, Serialize};
+use types::{Index, Life, Micros, Place, SECOND, Term};
 
 use crate::Tuning;
 use crate::judge::{State, Why};
--- a/crates/intent/src/usher.rs
+++ b/crates/intent/src/usher.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use props::{Index, Life, Micros, Place, SECOND};
+use types::{Index, Life, Micros, Place, SECOND};
 
 use crate::parts::{Act, Intent, RouteKey, Took};
 use crate::{Claim, Held, Tuning, Ward, Witness, Word, ward, witness};
--- a/crates/intent/src/ward.rs
+++ b/crates/intent/src/ward.rs
@@ -1,7 +1,7 @@
 //! Ward (at each node): takes a leader's orders, obeys each once, and says whether clients may come. It fails
 //! open: without a leader nobody is kept out for longer than a lease.
 
-use props::{Index, Life, Micros};
+use types::{Index, Life, Micros};
 
 use crate::Tuning;
 use crate::parts::Part;
--- a/crates/intent/src/witness.rs
+++ b/crates/intent/src/witness.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use props::{Index, Life, Micros, Place};
 use serde::{Deserialize, Serialize};
+use types::{Index, Life, Micros, Place};
 
 use crate::parts::{Act, Intent, Part, RouteKey, Row, Took};
 use crate::{NODES_MAX, Tuning, mix};
--- a/crates/intent/tests/intent.rs
+++ b/crates/intent/tests/intent.rs
@@ -15,7 +15,7 @@
     inspector, usher, ward,
 };
 use oorandom::Rand64;
-use props::{Index, Life, MS, Micros, Place, SECOND, Term};
+use types::{Index, Life, MS, Micros, Place, SECOND, Term};
 use world::{Kind, Plan, Text, Way, run, texts};
 
 fn place(at: u8) -> Place {
--- a/crates/ledger/src/form.rs
+++ b/crates/ledger/src/form.rs
@@ -1,9 +1,9 @@
 //! Keys, and the form of the values under them: a version, a checksum, the bytes.
 
 use promptbook::{Entry, Members, Saved, Snapshot, What};
-use props::{Index, Life, Seat, Term};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
+use types::{Index, Life, Seat, Term};
 
 use crate::{LedgerError, Pairs};
 
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -9,8 +9,8 @@
 mod store;
 
 use promptbook::{Saved, Write};
-use props::{Index, Life};
 use thiserror::Error;
+use types::{Index, Life};
 
 use form::{Hard, entry_key};
 pub use store::{Batch, Pairs, Step, Store, StoreError};
--- a/crates/ledger/tests/recovery.rs
+++ b/crates/ledger/tests/recovery.rs
@@ -5,7 +5,7 @@
 
 use ledger::{Batch, Ledger, LedgerError, Opened, Pairs, Step, Store, StoreError};
 use promptbook::{Entry, Members, Saved, Snapshot, What, Write, WriteNo};
-use props::{Index, Life, Place, Seat, Term};
+use types::{Index, Life, Place, Seat, Term};
 
 type Contents = BTreeMap<Vec<u8>, Vec<u8>>;
 
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -8,7 +8,7 @@
 use bill::{Bill, Kind};
 use garnetdoor::host::{Micros, Settings};
 use indexmap::IndexMap;
-use props::{MS, SECOND};
+use types::{MS, SECOND};
 
 pub use share::{Share, before};
 pub use trial::tried;
--- a/crates/load/src/share.rs
+++ b/crates/load/src/share.rs
@@ -1,7 +1,7 @@
 //! Shares of the instances: which gateways may hold connections to which instances, where there are not enough for
 //! all. Every gateway works it out alike, from the list of gateways; no messages.
 
-use props::Place;
+use types::Place;
 
 /// Of the connections that an instance accepts, what gateways use: the rest is for lists that differ between
 /// gateways for a moment, for machines that lost power and for what instances refuse while their queue is long.
--- a/crates/load/tests/share.rs
+++ b/crates/load/tests/share.rs
@@ -4,7 +4,7 @@
 use std::net::Ipv4Addr;
 
 use load::{Share, before};
-use props::Place;
+use types::Place;
 
 fn gateways(count: u8) -> Vec<Place> {
     (0..count).map(|number| Place(Ipv4Addr::new(10, 1 + number % 3, 0, 15 + number))).collect()
--- a/crates/playhouse/src/calls.rs
+++ b/crates/playhouse/src/calls.rs
@@ -4,9 +4,9 @@
 
 use cast::{Beat, InstanceId};
 use hyper::{HeaderMap, Method};
-use props::{Micros, Version};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
+use types::{Micros, Version};
 
 use crate::settings::micros;
 
--- a/crates/playhouse/src/commands/config.rs
+++ b/crates/playhouse/src/commands/config.rs
@@ -4,9 +4,9 @@
 
 use bill::Bill;
 use hyper::{Method, StatusCode};
-use props::Version;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
+use types::Version;
 
 use super::call::{At, good};
 use super::{Done, Failed, print, print_json, read, text};
--- a/crates/playhouse/src/commands/ledger.rs
+++ b/crates/playhouse/src/commands/ledger.rs
@@ -7,10 +7,10 @@
 
 use ::ledger::{Ledger, LedgerError, Opened};
 use promptbook::{Members, Snapshot, What, Write, WriteNo};
-use props::{Index, Life, Place, Seat, Term};
 use script::{Command, Outcome, Script};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
+use types::{Index, Life, Place, Seat, Term};
 use wings::DiskStore;
 
 use super::view::rollout_state;
--- a/crates/playhouse/src/commands/view.rs
+++ b/crates/playhouse/src/commands/view.rs
@@ -4,9 +4,9 @@
 
 use cast::State;
 use company::{Part, Standing};
-use props::{Micros, SECOND};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
+use types::{Micros, SECOND};
 
 use crate::control::Control;
 use crate::house::House;
@@ -29,7 +29,7 @@
     span as f64 / SECOND as f64
 }
 
-fn life(life: props::Life) -> String {
+fn life(life: types::Life) -> String {
     format!("{:x}", life.0)
 }
 
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -8,8 +8,8 @@
 use company::{Part, Standing};
 use intent::{Inspector, inspector};
 use promptbook::{Effect, Entry, Event, Members, Message, Promptbook, Release, Saved, What, Write, WriteNo};
-use props::{Ask, Carrier, Form, Index, MS, Micros, Place, SECOND, Seat};
 use script::{Command, Count, Outcome};
+use types::{Ask, Carrier, Form, Index, MS, Micros, Place, SECOND, Seat};
 
 use crate::house::{Happened, House, Letter, Word};
 use crate::settings::Spans;
--- a/crates/playhouse/src/floor/desk.rs
+++ b/crates/playhouse/src/floor/desk.rs
@@ -16,9 +16,9 @@
 };
 use indexmap::IndexMap;
 use load::{Bounds, Fleet, Profiles, Share, VOTE_LIFE};
-use props::Micros;
 use purse::Purse;
 use script::{Rollout, Tally, Voice};
+use types::Micros;
 
 /// What the decisions have asked for.
 #[derive(Debug)]
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -14,7 +14,7 @@
 use garnetdoor::host::{Arrival, Ending, ServerId, Taken, TicketId, TripNo, Vote, Wake};
 use indexmap::IndexMap;
 use intent::{Intent, Usher, usher, ward};
-use props::{Carrier, MS, Micros, Place, SECOND};
+use types::{Carrier, MS, Micros, Place, SECOND};
 
 use crate::house::{Happened, House, Letter, Word};
 use crate::settings::{Settings, micros};
--- a/crates/playhouse/src/foyer/front.rs
+++ b/crates/playhouse/src/foyer/front.rs
@@ -15,10 +15,10 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Request, Response, StatusCode, Uri};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use props::{Micros, SECOND};
 use simd_json::prelude::Writable;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
+use types::{Micros, SECOND};
 
 use super::crowd::{Crowd, Place};
 use super::pool::{Body, Failed};
--- a/crates/playhouse/src/foyer/mod.rs
+++ b/crates/playhouse/src/foyer/mod.rs
@@ -23,8 +23,8 @@
 use company::Part;
 use garnetdoor::host::{Ending, TicketId, TripNo};
 use hyper::Response;
-use props::{Life, MS, Micros, Place, SECOND};
 use tokio::sync::oneshot;
+use types::{Life, MS, Micros, Place, SECOND};
 use wings::{Arrived, Post};
 
 use crate::floor::desk::Seen;
--- a/crates/playhouse/src/foyer/pool.rs
+++ b/crates/playhouse/src/foyer/pool.rs
@@ -15,9 +15,9 @@
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
-use props::{Micros, SECOND};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use tokio::net::TcpStream;
+use types::{Micros, SECOND};
 
 use super::exchange::{End, Look, State};
 
--- a/crates/playhouse/src/foyer/trip.rs
+++ b/crates/playhouse/src/foyer/trip.rs
@@ -14,7 +14,7 @@
 use hyper::body::{Body as _, Frame, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri, Version};
-use props::{Micros, SECOND};
+use types::{Micros, SECOND};
 
 use super::cloakroom::Coat;
 use super::pool::{self, Body, Failed, Pool, Wire};
--- a/crates/playhouse/src/foyer/watch.rs
+++ b/crates/playhouse/src/foyer/watch.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
-use props::Micros;
+use types::Micros;
 
 use crate::house::Clock;
 
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -7,10 +7,10 @@
 
 use cast::Cast;
 use company::{Company, Member, Part, Standing};
-use props::{Ask, Carrier, Edition, Form, Index, MS, Micros, Place, Program, SECOND, Seat};
 use replication::Replicator;
 use script::{Broken, Outcome, Script};
 use serde::{Deserialize, Serialize};
+use types::{Ask, Carrier, Edition, Form, Index, MS, Micros, Place, Program, SECOND, Seat};
 
 use crate::paths::Paths;
 
--- a/crates/playhouse/src/paths.rs
+++ b/crates/playhouse/src/paths.rs
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 
-use props::{Carrier, DATAGRAM_BYTES, Micros, Place, SECOND};
+use types::{Carrier, DATAGRAM_BYTES, Micros, Place, SECOND};
 
 /// How long a node is written to by stream after an answer of it stayed away.
 const INSISTED: Micros = 5 * SECOND;
--- a/crates/playhouse/src/post.rs
+++ b/crates/playhouse/src/post.rs
@@ -1,6 +1,6 @@
 //! Words to bytes on their way out.
 
-use props::{Carrier, Place};
+use types::{Carrier, Place};
 use wings::Post;
 
 use crate::house::Letter;
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -15,10 +15,10 @@
 use hyper::{Request, Response, StatusCode, header};
 use ledger::{Ledger, LedgerError, Opened, StoreError};
 use promptbook::{Members, Saved};
-use props::{Ask, Life, Micros, Place, SECOND, Seat};
 use script::{Command, Outcome};
 use simd_json::prelude::*;
 use tokio::sync::oneshot;
+use types::{Ask, Life, Micros, Place, SECOND, Seat};
 use wings::{Arrived, DiskHand, DiskStore, NoteHand, Post};
 
 use crate::calls::{self, Call, Wrong};
@@ -232,7 +232,7 @@
         let out = self.control.step(now, event);
         self.carry(out);
         if let Some(waited) = self.writes.hangs(now) {
-            log::warn!("disk: a write has waited for {} ms", waited / props::MS);
+            log::warn!("disk: a write has waited for {} ms", waited / types::MS);
             ring::spill("a write hangs");
         }
         let back = self.reverted.more(&self.control.house.script);
--- a/crates/playhouse/src/ring.rs
+++ b/crates/playhouse/src/ring.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 use log::{Level, LevelFilter, Log, Metadata, Record};
-use props::{MS, Micros, SECOND};
+use types::{MS, Micros, SECOND};
 
 /// Bytes of lines that are kept, and written out, at most.
 pub const RING_BYTES: usize = 32 << 10;
--- a/crates/playhouse/src/settings.rs
+++ b/crates/playhouse/src/settings.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use company::{Member, Part};
-use props::{Edition, Life, MS, Micros, Place, SECOND};
+use types::{Edition, Life, MS, Micros, Place, SECOND};
 
 /// Where the settings file's path stands.
 pub const VARIABLE: &str = "GARNETDOOR_SETTINGS";
--- a/crates/playhouse/src/troubles.rs
+++ b/crates/playhouse/src/troubles.rs
@@ -2,7 +2,7 @@
 //! back. No I/O.
 
 use promptbook::WriteNo;
-use props::{Index, Micros, SECOND};
+use types::{Index, Micros, SECOND};
 
 /// A write that waits longer has been left by a disk that hangs.
 const DISK_HANGS: Micros = 3 * SECOND;
--- a/crates/playhouse/tests/commands.rs
+++ b/crates/playhouse/tests/commands.rs
@@ -16,9 +16,9 @@
 use playhouse::ring::{Allowance, OWN, Pace, Ring};
 use playhouse::troubles::Writes;
 use promptbook::WriteNo;
-use props::{Edition, Index, Life, Place, SECOND};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
+use types::{Edition, Index, Life, Place, SECOND};
 
 const LONG: Duration = Duration::from_secs(30);
 const HOST: &str = "commands.example";
--- a/crates/playhouse/tests/cut.rs
+++ b/crates/playhouse/tests/cut.rs
@@ -13,8 +13,8 @@
 use playhouse::house::House;
 use playhouse::settings::{Settings, Spans};
 use promptbook::{Members, Write};
-use props::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
 use script::{Command, Outcome};
+use types::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
 use wings::MemoryStore;
 
 /// Programs that know of proofs.
--- a/crates/playhouse/tests/exchange.rs
+++ b/crates/playhouse/tests/exchange.rs
@@ -26,7 +26,7 @@
 use playhouse::foyer::pool::{Failed, Pool};
 use playhouse::foyer::trip::{ATTEMPT_ID, Asked, Outcome, Trip};
 use playhouse::house::Clock;
-use props::{MS, Micros, SECOND};
+use types::{MS, Micros, SECOND};
 
 /// No wait is so long unless something is wrong.
 const LONG: Duration = Duration::from_secs(20);
--- a/crates/playhouse/tests/forms.rs
+++ b/crates/playhouse/tests/forms.rs
@@ -13,11 +13,11 @@
 use playhouse::house::{House, Word};
 use playhouse::settings::{Settings, Spans};
 use promptbook::{Entry, Members, What, Write, WriteNo};
-use props::{
-    Ask, Carrier, Edition, Form, Forms, Index, Life, MS, Micros, Place, Program, SECOND, Seat, Term, Version,
-};
 use script::{Command, Outcome, Script, Stamp};
 use simd_json::prelude::*;
+use types::{
+    Ask, Carrier, Edition, Form, Forms, Index, Life, MS, Micros, Place, Program, SECOND, Seat, Term, Version,
+};
 use wings::{DiskStore, MemoryStore};
 
 /// What 0.5.0 reads.
--- a/crates/playhouse/tests/members.rs
+++ b/crates/playhouse/tests/members.rs
@@ -8,7 +8,7 @@
 use playhouse::house::House;
 use playhouse::settings::{Settings, Spans};
 use promptbook::{Members, Release, Saved};
-use props::{Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat};
+use types::{Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat};
 
 /// A settings file with these tables at its end.
 fn settings(tables: &str) -> Result<Settings, Vec<String>> {
--- a/crates/playhouse/tests/metrics.rs
+++ b/crates/playhouse/tests/metrics.rs
@@ -5,8 +5,8 @@
 use company::{Member, Part};
 use playhouse::house::{House, Word};
 use playhouse::metrics::Metrics;
-use props::{Carrier, Edition, Index, Life, MS, Place, SECOND};
 use replication::{Message, Piece};
+use types::{Carrier, Edition, Index, Life, MS, Place, SECOND};
 use wings::PostStats;
 
 fn place(node: u8) -> Place {
--- a/crates/playhouse/tests/paths.rs
+++ b/crates/playhouse/tests/paths.rs
@@ -5,7 +5,7 @@
 use company::{Member, Part};
 use playhouse::house::{House, Word};
 use playhouse::paths::Paths;
-use props::{Carrier, DATAGRAM_BYTES, Edition, Life, Place, SECOND};
+use types::{Carrier, DATAGRAM_BYTES, Edition, Life, Place, SECOND};
 
 const HUB: Place = Place(Ipv4Addr::new(10, 0, 0, 1));
 const PEER: Place = Place(Ipv4Addr::new(10, 0, 0, 2));
--- a/crates/promptbook/src/book.rs
+++ b/crates/promptbook/src/book.rs
@@ -2,7 +2,7 @@
 
 use std::mem;
 
-use props::{Index, MS, Micros, Place, Seat, Term};
+use types::{Index, MS, Micros, Place, Seat, Term};
 
 use crate::disk::Disk;
 use crate::follow::Coming;
--- a/crates/promptbook/src/disk.rs
+++ b/crates/promptbook/src/disk.rs
@@ -1,6 +1,6 @@
 //! What is known to be on disk, and the one write that may be under way.
 
-use props::{Index, MS, Micros, Seat, Term};
+use types::{Index, MS, Micros, Seat, Term};
 
 use crate::log::Log;
 use crate::mark::Marks;
--- a/crates/promptbook/src/follow.rs
+++ b/crates/promptbook/src/follow.rs
@@ -1,6 +1,6 @@
 //! Following: entries, beats and snapshots from a leader, and the answers to them.
 
-use props::{Index, Seat, Term};
+use types::{Index, Seat, Term};
 
 use crate::book::{Promptbook, Role};
 use crate::lead::NOBODY;
--- a/crates/promptbook/src/lead.rs
+++ b/crates/promptbook/src/lead.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use props::{Ask, Index, Micros, Place, Seat};
+use types::{Ask, Index, Micros, Place, Seat};
 
 use crate::book::{Promptbook, Role};
 use crate::log::{Log, weight};
@@ -203,7 +203,7 @@
 /// What is the same for all sends of one step.
 struct Desk<'a> {
     now: Micros,
-    term: props::Term,
+    term: types::Term,
     log: &'a Log,
     commit: Index,
     round: u64,
--- a/crates/promptbook/src/leave.rs
+++ b/crates/promptbook/src/leave.rs
@@ -1,6 +1,6 @@
 //! Leaving: a member that is told to end hands over what only it has, the lead first.
 
-use props::{Index, Micros, Seat};
+use types::{Index, Micros, Seat};
 
 use crate::Word;
 use crate::book::{Promptbook, Role};
--- a/crates/promptbook/src/lib.rs
+++ b/crates/promptbook/src/lib.rs
@@ -20,8 +20,8 @@
 pub use leave::Release;
 pub use mark::Marks;
 
-use props::{Ask, Form, Index, Micros, Place, Seat, Term};
 use serde::{Deserialize, Serialize};
+use types::{Ask, Form, Index, Micros, Place, Seat, Term};
 
 /// Who votes, after some entry of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/promptbook/src/log.rs
+++ b/crates/promptbook/src/log.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use props::{Index, Seat, Term};
+use types::{Index, Seat, Term};
 
 use crate::{Entry, Members, Snapshot, What};
 
--- a/crates/promptbook/src/mark.rs
+++ b/crates/promptbook/src/mark.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use props::Micros;
+use types::Micros;
 
 /// A hash of 64 bits that gathers marks of a state. Not for input that somebody could choose to make two
 /// alike.
--- a/crates/promptbook/src/proof.rs
+++ b/crates/promptbook/src/proof.rs
@@ -1,6 +1,6 @@
 //! Proof of age (a lease over steady clocks): how long ago a majority was last known to follow one leader.
 
-use props::{Micros, Term};
+use types::{Micros, Term};
 
 use crate::book::{Promptbook, Role};
 use crate::mark::Marks;
--- a/crates/promptbook/src/seats.rs
+++ b/crates/promptbook/src/seats.rs
@@ -1,6 +1,6 @@
 //! Who votes: seats let in and dismissed, one at a time, through the log.
 
-use props::{Index, Micros, Place, Seat};
+use types::{Index, Micros, Place, Seat};
 
 use crate::book::{Promptbook, Role};
 use crate::lead::Peer;
--- a/crates/promptbook/src/stand.rs
+++ b/crates/promptbook/src/stand.rs
@@ -1,6 +1,6 @@
 //! Elections: asking whether one may stand, standing, voting.
 
-use props::{Index, Micros, Seat, Term};
+use types::{Index, Micros, Seat, Term};
 
 use crate::Word;
 use crate::book::{FIRST_STAND, Promptbook, Role};
--- a/crates/promptbook/tests/catch_up.rs
+++ b/crates/promptbook/tests/catch_up.rs
@@ -7,7 +7,7 @@
 use promptbook::{
     Effect, Event, Losses, Members, Message, Promptbook, Saved, Snapshot, Timing, What, Word, Write,
 };
-use props::{Ask, Index, Life, MS, Micros, Place, SECOND, Seat, Term};
+use types::{Ask, Index, Life, MS, Micros, Place, SECOND, Seat, Term};
 
 const KB: usize = 1024;
 const MB: usize = 1024 * KB;
--- a/crates/promptbook/tests/proof.rs
+++ b/crates/promptbook/tests/proof.rs
@@ -4,7 +4,7 @@
 use std::net::Ipv4Addr;
 
 use promptbook::{Effect, Event, Losses, Members, Message, Promptbook, Saved, Timing};
-use props::{Life, MS, Micros, Place, SECOND, Seat};
+use types::{Life, MS, Micros, Place, SECOND, Seat};
 
 const TIMING: Timing = Timing {
     beat: 150 * MS,
--- a/crates/promptbook/tests/world.rs
+++ b/crates/promptbook/tests/world.rs
@@ -5,7 +5,7 @@
 use std::net::Ipv4Addr;
 
 use promptbook::{Effect, Event, Losses, Members, Message, Promptbook, Release, Saved, Timing, Word, Write};
-use props::{Ask, Index, Life, MS, Micros, Place, SECOND, Seat};
+use types::{Ask, Index, Life, MS, Micros, Place, SECOND, Seat};
 
 const TIMING: Timing = Timing {
     beat: 50 * MS,
--- a/crates/purse/src/lib.rs
+++ b/crates/purse/src/lib.rs
@@ -6,7 +6,7 @@
 mod window;
 
 use indexmap::IndexMap;
-use props::{Micros, SECOND};
+use types::{Micros, SECOND};
 
 pub use party::Party;
 use window::Window;
--- a/crates/purse/src/party.rs
+++ b/crates/purse/src/party.rs
@@ -1,6 +1,6 @@
 //! How many share: the most foyers that were known at one time lately.
 
-use props::{Micros, SECOND};
+use types::{Micros, SECOND};
 
 /// How long a larger number holds on. Longer than any cut that is expected: who sees only its own side of a cut
 /// must not take the other side's part.
--- a/crates/purse/src/window.rs
+++ b/crates/purse/src/window.rs
@@ -1,7 +1,7 @@
 //! Requests and further tries of one service at one foyer, in slots, and the room that every sliding window
 //! leaves.
 
-use props::Micros;
+use types::Micros;
 
 /// Slots in one span.
 const SLOTS: i64 = 50;
--- a/crates/purse/tests/purse.rs
+++ b/crates/purse/tests/purse.rs
@@ -1,8 +1,8 @@
 //! The sum over foyers, judged as the rule is written, whatever happens to them.
 
 use oorandom::Rand32;
-use props::{MS, Micros, SECOND};
 use purse::Purse;
+use types::{MS, Micros, SECOND};
 
 const RATIO: f64 = 0.2;
 const SLACK: f64 = 58.0;
--- a/crates/rehearsal/src/exhaust/stage.rs
+++ b/crates/rehearsal/src/exhaust/stage.rs
@@ -11,7 +11,7 @@
 use promptbook::{
     Effect, Entry, Event, Losses, Marks, Members, Message, Promptbook, Saved, Timing, Word, Write,
 };
-use props::{Ask, Index, Life, MS, Micros, Place, SECOND, Seat, Term};
+use types::{Ask, Index, Life, MS, Micros, Place, SECOND, Seat, Term};
 
 /// As in promptbook's own world.
 pub const TIMING: Timing = Timing {
--- a/crates/rehearsal/src/exhaust/starts.rs
+++ b/crates/rehearsal/src/exhaust/starts.rs
@@ -1,7 +1,7 @@
 //! States that explorations begin in, each played to from the first start of all by steps of the same kinds.
 
 use promptbook::{Entry, What, Word};
-use props::Index;
+use types::Index;
 
 use super::stage::{Bounds, Planted, Stage, Step};
 
--- a/crates/rehearsal/src/plant.rs
+++ b/crates/rehearsal/src/plant.rs
@@ -4,8 +4,8 @@
 use cast::{Message, State};
 use playhouse::house::{Word, opened};
 use promptbook::{Members, Message as Book, Saved, What, Word as Said, Write};
-use props::{Index, Seat};
 use serde::{Deserialize, Serialize};
+use types::{Index, Seat};
 
 use crate::play::{self, Day};
 use crate::rules::Rule;
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -1,6 +1,6 @@
 //! Play (whole days): one day from its scenario, its verdict, and a smaller scenario that breaks the same.
 
-use props::Micros;
+use types::Micros;
 
 use crate::plant::Planted;
 use crate::rules::{self, Broken, Margins};
--- a/crates/rehearsal/src/plot.rs
+++ b/crates/rehearsal/src/plot.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write as _;
 
-use props::{Micros, SECOND};
+use types::{Micros, SECOND};
 
 use crate::play::Day;
 use crate::seen::{Answer, What};
--- a/crates/rehearsal/src/queue.rs
+++ b/crates/rehearsal/src/queue.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-use props::Micros;
+use types::Micros;
 
 struct Slot<E> {
     at: Micros,
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bill::Kind;
-use props::{MS, Micros, SECOND};
+use types::{MS, Micros, SECOND};
 
 use crate::seen::{Answer, Seen, What};
 use crate::touch::Touch;
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,8 +1,8 @@
 //! Scenario (what goes wrong, and when): drawn from a seed, or read from a TOML file.
 
 use oorandom::Rand64;
-use props::{MS, Micros, SECOND};
 use serde::{Deserialize, Serialize};
+use types::{MS, Micros, SECOND};
 
 use crate::site::Site;
 use crate::{widen, worst};
--- a/crates/rehearsal/src/seen.rs
+++ b/crates/rehearsal/src/seen.rs
@@ -2,7 +2,7 @@
 //! checked on this alone, so that a recorded or hand-made run can be judged too.
 
 use bill::Kind;
-use props::Micros;
+use types::Micros;
 
 /// A machine's number in the world.
 pub type Machine = usize;
--- a/crates/rehearsal/src/site.rs
+++ b/crates/rehearsal/src/site.rs
@@ -2,8 +2,8 @@
 //! is as on the small sites.
 
 use bill::Kind;
-use props::{MS, Micros};
 use serde::{Deserialize, Serialize};
+use types::{MS, Micros};
 
 use crate::rules::Terms;
 
--- a/crates/rehearsal/src/touch.rs
+++ b/crates/rehearsal/src/touch.rs
@@ -1,7 +1,7 @@
 //! Touch (when rules with a time bound hold): a machine is in touch at a moment if for all of `ContactS` before it
 //! neither it nor the core had trouble, as the operators' rules have it.
 
-use props::Micros;
+use types::Micros;
 
 use crate::seen::{Machine, Seen, What};
 
--- a/crates/rehearsal/src/world/foyer.rs
+++ b/crates/rehearsal/src/world/foyer.rs
@@ -8,7 +8,7 @@
 use playhouse::floor::desk::Seen as Target;
 use playhouse::floor::{Floor, In, Out};
 use playhouse::house::Word;
-use props::{Life, MS, Micros, SECOND};
+use types::{Life, MS, Micros, SECOND};
 
 use super::instances::Trip;
 use super::machine::Process;
--- a/crates/rehearsal/src/world/guests.rs
+++ b/crates/rehearsal/src/world/guests.rs
@@ -2,7 +2,7 @@
 
 use bill::Kind;
 use garnetdoor::host::TicketId;
-use props::{MS, Micros, SECOND};
+use types::{MS, Micros, SECOND};
 
 use super::{Event, World};
 use crate::seen::{Answer, What};
--- a/crates/rehearsal/src/world/instances.rs
+++ b/crates/rehearsal/src/world/instances.rs
@@ -6,7 +6,7 @@
 
 use cast::{Beat, InstanceId};
 use garnetdoor::host::{Ending, TicketId, TripNo};
-use props::{MS, Micros, Place, SECOND};
+use types::{MS, Micros, Place, SECOND};
 
 use super::operators::{Call, Caller, Reply, Who};
 use super::{Event, World};
--- a/crates/rehearsal/src/world/machine.rs
+++ b/crates/rehearsal/src/world/machine.rs
@@ -8,7 +8,7 @@
 use playhouse::house::House;
 use playhouse::settings::{Settings, micros};
 use promptbook::Write;
-use props::{Carrier, Life, MS, Micros, Place, SECOND};
+use types::{Carrier, Life, MS, Micros, Place, SECOND};
 use wings::{Fault, MemoryStore};
 
 use super::foyer::FoyerProc;
@@ -241,7 +241,7 @@
             part: machine.part,
             zone: format!("z{}", machine.zone),
             name: format!("m{at}"),
-            edition: props::Edition::OWN,
+            edition: types::Edition::OWN,
         };
         House::start(member, seeds, beat, seed, 0)
     }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -18,7 +18,7 @@
 use oorandom::Rand64;
 use playhouse::settings::Settings;
 use promptbook::Write;
-use props::{Carrier, MS, Micros, Place, SECOND};
+use types::{Carrier, MS, Micros, Place, SECOND};
 
 use crate::plant::Planted;
 use crate::queue::Queue;
--- a/crates/rehearsal/src/world/net.rs
+++ b/crates/rehearsal/src/world/net.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use playhouse::house::{Letter, Word};
-use props::{Carrier, DATAGRAM_BYTES, MS, Micros, Place};
+use types::{Carrier, DATAGRAM_BYTES, MS, Micros, Place};
 
 use super::{Event, World};
 
--- a/crates/rehearsal/src/world/operators.rs
+++ b/crates/rehearsal/src/world/operators.rs
@@ -6,9 +6,9 @@
 
 use bill::Bill;
 use cast::{Beat, InstanceId};
-use props::{MS, Micros, Place, SECOND, Version};
 use script::{Command, State};
 use simd_json::OwnedValue;
+use types::{MS, Micros, Place, SECOND, Version};
 
 use super::instances::Bad;
 use super::machine::Process;
--- a/crates/rehearsal/src/world/prompter.rs
+++ b/crates/rehearsal/src/world/prompter.rs
@@ -7,8 +7,8 @@
 use playhouse::control::{Control, In, Out, Told};
 use playhouse::house::Word;
 use promptbook::{Members, Saved, Write};
-use props::{Ask, Life, Micros, Place, Seat};
 use script::{Command, Outcome};
+use types::{Ask, Life, Micros, Place, Seat};
 use wings::MemoryStore;
 
 use super::machine::Process;
@@ -340,12 +340,12 @@
 fn empty(no: promptbook::WriteNo) -> Write {
     Write {
         no,
-        term: props::Term(0),
+        term: types::Term(0),
         voted: None,
         cut_from: None,
         entries: Vec::new(),
         snapshot: None,
-        committed: props::Index(0),
+        committed: types::Index(0),
     }
 }
 
--- a/crates/rehearsal/src/world/troubles.rs
+++ b/crates/rehearsal/src/world/troubles.rs
@@ -1,7 +1,7 @@
 //! Troubles: what a scenario does to machines, links, disks, instances and operators.
 
 use company::Part;
-use props::{MS, Micros, SECOND};
+use types::{MS, Micros, SECOND};
 
 use super::machine::Process;
 use super::operators::Edit;
--- a/crates/rehearsal/tests/rules.rs
+++ b/crates/rehearsal/tests/rules.rs
@@ -1,9 +1,9 @@
 //! Each rule's checker, on a recorded run that breaks it and on the same run without the breach.
 
 use bill::Kind;
-use props::{MS, Micros, SECOND};
 use rehearsal::rules::{ALL, Rule, Terms, check};
 use rehearsal::seen::{Answer, Seen, What};
+use types::{MS, Micros, SECOND};
 
 fn at(second: f64, what: What) -> Seen {
     Seen { at: (second * 1e6) as Micros, what }
--- a/crates/replication/src/gap.rs
+++ b/crates/replication/src/gap.rs
@@ -1,6 +1,6 @@
 //! How long a node has been behind what it has heard of, for people who look after the system. Nothing is decided by it.
 
-use props::{Index, Micros};
+use types::{Index, Micros};
 
 /// Counters and gauges of the ordered news at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -17,8 +17,8 @@
 
 pub use gap::{Gap, Stats};
 pub use node::Replicator;
-use props::{Form, Index, Micros, Place, Term};
 use serde::{Deserialize, Serialize};
+use types::{Form, Index, Micros, Place, Term};
 pub use watch::WatchStats;
 
 /// Pieces up to this many bytes are sent unasked; of bigger ones the index is told, and they are asked for.
--- a/crates/replication/src/node/mod.rs
+++ b/crates/replication/src/node/mod.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use oorandom::Rand64;
-use props::{Index, MS, Micros, Place, SECOND};
+use types::{Index, MS, Micros, Place, SECOND};
 
 use crate::gap::{Gap, Gaps, Stats};
 use crate::proof::{Contact, Proofs};
--- a/crates/replication/src/node/source.rs
+++ b/crates/replication/src/node/source.rs
@@ -10,7 +10,7 @@
     /// Whom this hub pushes to: the followers that watch it, and its share of those that can't watch anybody.
     pub(super) fn served(&self) -> Vec<Place> {
         let mut served: Vec<Place> = self.watchers.places().collect();
-        let share = props::share(self.own, &self.hubs, &self.unwatching, OWNERS);
+        let share = types::share(self.own, &self.hubs, &self.unwatching, OWNERS);
         served.extend(share.into_iter().filter(|place| !self.watchers.has(*place)));
         served
     }
--- a/crates/replication/src/proof.rs
+++ b/crates/replication/src/proof.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use props::{Index, MS, Micros, Place, SECOND};
+use types::{Index, MS, Micros, Place, SECOND};
 
 use crate::{Effect, Message, PEERS_MAX, Standing};
 
--- a/crates/replication/src/pushes.rs
+++ b/crates/replication/src/pushes.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use props::{Index, MS, Micros, Place, SECOND};
+use types::{Index, MS, Micros, Place, SECOND};
 
 /// A push by datagram should be acknowledged within this, beside what its bytes take.
 const ACKNOWLEDGED: Micros = 200 * MS;
--- a/crates/replication/src/ring.rs
+++ b/crates/replication/src/ring.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use props::Index;
+use types::Index;
 
 use crate::Piece;
 
--- a/crates/replication/src/watch.rs
+++ b/crates/replication/src/watch.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use props::{Index, MS, Micros, Place, SECOND};
+use types::{Index, MS, Micros, Place, SECOND};
 
 use crate::{Effect, Message, Standing};
 
--- a/crates/replication/src/watchers.rs
+++ b/crates/replication/src/watchers.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use props::{Micros, Place, SECOND};
+use types::{Micros, Place, SECOND};
 
 use crate::PEERS_MAX;
 
--- a/crates/replication/tests/common/mod.rs
+++ b/crates/replication/tests/common/mod.rs
@@ -8,8 +8,8 @@
 use std::net::Ipv4Addr;
 
 use oorandom::Rand64;
-use props::{Index, MS, Micros, Place, SECOND, Term};
 use replication::{Effect, Event, Message, Mode, Replicator, Standing};
+use types::{Index, MS, Micros, Place, SECOND, Term};
 
 /// Hubs of the usual world.
 pub const HUBS: usize = 5;
--- a/crates/replication/tests/earlier_life.rs
+++ b/crates/replication/tests/earlier_life.rs
@@ -3,8 +3,8 @@
 use std::net::Ipv4Addr;
 
 use oorandom::Rand64;
-use props::{Index, MS, Micros, Place, SECOND};
 use replication::{Effect, Event, Message, Mode, Replicator};
+use types::{Index, MS, Micros, Place, SECOND};
 
 fn place(node: u8) -> Place {
     Place(Ipv4Addr::new(10, 0, 0, node))
--- a/crates/replication/tests/pushes.rs
+++ b/crates/replication/tests/pushes.rs
@@ -3,8 +3,8 @@
 
 use std::net::Ipv4Addr;
 
-use props::{Index, MS, Micros, Place, SECOND};
 use replication::{Effect, Event, Message, Mode, Piece, Replicator};
+use types::{Index, MS, Micros, Place, SECOND};
 
 const HUB: u8 = 1;
 const FOLLOWERS: [u8; 2] = [8, 9];
--- a/crates/replication/tests/turn.rs
+++ b/crates/replication/tests/turn.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-use props::{Index, MS, Micros, Place, SECOND, Term};
 use replication::{Effect, Event, Message, Mode, Replicator, Standing};
+use types::{Index, MS, Micros, Place, SECOND, Term};
 
 fn place(node: u8) -> Place {
     Place(Ipv4Addr::new(10, 0, 0, node))
--- a/crates/replication/tests/views.rs
+++ b/crates/replication/tests/views.rs
@@ -5,7 +5,7 @@
 
 use common::World;
 use oorandom::Rand64;
-use props::{MS, Micros, SECOND};
+use types::{MS, Micros, SECOND};
 
 const HUBS: usize = 11;
 const FOLLOWERS: usize = 59;
--- a/crates/replication/tests/watch.rs
+++ b/crates/replication/tests/watch.rs
@@ -2,8 +2,8 @@
 
 use std::net::Ipv4Addr;
 
-use props::{Index, MS, Micros, Place, SECOND, Term};
 use replication::{Effect, Event, Message, Mode, Replicator, Standing};
+use types::{Index, MS, Micros, Place, SECOND, Term};
 
 const SOURCES: u8 = 5;
 const OWN: u8 = 99;
--- a/crates/replication/tests/whole.rs
+++ b/crates/replication/tests/whole.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-use props::{Index, MS, Micros, Place, SECOND};
 use replication::{Effect, Event, Message, Mode, Replicator};
+use types::{Index, MS, Micros, Place, SECOND};
 
 const HUBS: usize = 3;
 const MB: usize = 1_000_000;
--- a/crates/replication/tests/world.rs
+++ b/crates/replication/tests/world.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{HUBS, PROVED, STARTED, World, data, node_at, place};
-use props::{Index, MS, Micros, SECOND, Term};
 use replication::{Effect, Event, Message, Mode, Piece, Replicator, Standing};
+use types::{Index, MS, Micros, SECOND, Term};
 
 const ALL: [usize; HUBS] = [1, 2, 3, 4, 5];
 
--- a/crates/script/examples/measure.rs
+++ b/crates/script/examples/measure.rs
@@ -3,8 +3,8 @@
 
 use std::time::Instant;
 
-use props::{Form, Index, SECOND, Version};
 use script::{Command, Script};
+use types::{Form, Index, SECOND, Version};
 
 fn main() {
     let text =
--- a/crates/script/src/clock.rs
+++ b/crates/script/src/clock.rs
@@ -6,8 +6,8 @@
 //! What passes while nobody leads, before a state was restored, or while orders overtake each other, is not counted: ages
 //! are never too long, and guards only grow.
 
-use props::{Index, Micros};
 use serde::{Deserialize, Serialize};
+use types::{Index, Micros};
 
 use crate::orders;
 
--- a/crates/script/src/count.rs
+++ b/crates/script/src/count.rs
@@ -6,8 +6,8 @@
 
 use std::collections::BTreeMap;
 
-use props::{MS, Micros, Place, SECOND};
 use serde::{Deserialize, Serialize};
+use types::{MS, Micros, Place, SECOND};
 
 use crate::{Command, Rollout, Script};
 
--- a/crates/script/src/earlier.rs
+++ b/crates/script/src/earlier.rs
@@ -3,8 +3,8 @@
 
 use std::collections::VecDeque;
 
-use props::Version;
 use serde::{Deserialize, Serialize};
+use types::Version;
 
 use crate::taken::Kind;
 
--- a/crates/script/src/lib.rs
+++ b/crates/script/src/lib.rs
@@ -21,10 +21,10 @@
 use indexmap::IndexMap;
 use orders::Orders;
 pub use outcome::{Broken, Outcome};
-pub use props::{Form, Forms, Index, Micros, Place, Version};
 pub use rollout::{Rollout, State};
 use serde::{Deserialize, Serialize};
 use taken::{Digest, Kind, Known, Taken};
+pub use types::{Form, Forms, Index, Micros, Place, Version};
 
 /// Services whose versions are kept; beyond them new ones are refused, so that instances that make up names
 /// can't fill the memory of every node.
--- a/crates/script/src/orders.rs
+++ b/crates/script/src/orders.rs
@@ -3,8 +3,8 @@
 
 use std::collections::VecDeque;
 
-use props::{Micros, SECOND};
 use serde::{Deserialize, Serialize};
+use types::{Micros, SECOND};
 
 use crate::taken::Digest;
 
--- a/crates/script/src/outcome.rs
+++ b/crates/script/src/outcome.rs
@@ -1,7 +1,7 @@
 //! Outcome (of a command): a value, the same at every node, with the status that its caller is answered.
 
 use bill::Faults;
-use props::{Form, Version};
+use types::{Form, Version};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
--- a/crates/script/src/rollout.rs
+++ b/crates/script/src/rollout.rs
@@ -1,8 +1,8 @@
 //! Rollout (of a new version): which version of a service is in service, which is on trial, and what became
 //! of the last order.
 
-use props::{Micros, SECOND};
 use serde::{Deserialize, Serialize};
+use types::{Micros, SECOND};
 
 use crate::Outcome;
 
--- a/crates/script/src/snapshot.rs
+++ b/crates/script/src/snapshot.rs
@@ -4,8 +4,8 @@
 
 use bill::Bill;
 use indexmap::IndexMap;
-use props::{Form, Index, Micros};
 use serde::{Deserialize, Serialize};
+use types::{Form, Index, Micros};
 
 use crate::clock::Clock;
 use crate::earlier::{self, Earlier};
--- a/crates/script/src/taken.rs
+++ b/crates/script/src/taken.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use props::{Micros, SECOND, Version};
 use serde::{Deserialize, Serialize};
+use types::{Micros, SECOND, Version};
 use xxhash_rust::xxh3::Xxh3;
 
 /// So many are kept whatever their age, the newest among them: nothing newer need come for days.
--- a/crates/script/tests/count.rs
+++ b/crates/script/tests/count.rs
@@ -2,8 +2,8 @@
 
 use std::net::Ipv4Addr;
 
-use props::{Index, MS, Micros, Place, SECOND};
 use script::{Command, Count, CountSettings, Script, Tally, Voice, Vote};
+use types::{Index, MS, Micros, Place, SECOND};
 
 fn place(n: usize) -> Place {
     Place(Ipv4Addr::from(0x0a00_0001 + n as u32))
--- a/crates/script/tests/earlier_life.rs
+++ b/crates/script/tests/earlier_life.rs
@@ -2,8 +2,8 @@
 
 use std::net::Ipv4Addr;
 
-use props::{Index, MS, Micros, Place, SECOND};
 use script::{Command, Count, CountSettings, Script, Voice, Vote};
+use types::{Index, MS, Micros, Place, SECOND};
 
 fn script() -> Script {
     let mut script = Script::new();
--- a/crates/script/tests/repeats.rs
+++ b/crates/script/tests/repeats.rs
@@ -3,9 +3,9 @@
 mod shared;
 
 use bill::Version;
-use props::{Form, Index, MS, Micros, SECOND};
 use script::{Command, Outcome, Script, Stamp, State};
 use shared::{modify, oorandom, order, replace, seen};
+use types::{Form, Index, MS, Micros, SECOND};
 
 const DAY: Micros = 24 * 3_600 * SECOND;
 
--- a/crates/script/tests/script.rs
+++ b/crates/script/tests/script.rs
@@ -3,9 +3,9 @@
 mod shared;
 
 use bill::Version;
-use props::{Index, SECOND};
 use script::{Broken, Command, Outcome, Rollout, Script, State};
 use shared::{modify, oorandom, order, replace, seen};
+use types::{Index, SECOND};
 
 fn verdict(number: u32, completed: bool) -> Command {
     Command::Verdict { service: "box".into(), number, completed }
--- a/crates/script/tests/shared/mod.rs
+++ b/crates/script/tests/shared/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code, reason = "each test file uses some of these")]
 
 use bill::Version;
-use props::SECOND;
 use script::Command;
+use types::SECOND;
 
 pub fn text(version: u32, weight: u32) -> Vec<u8> {
     format!(
--- a/crates/understudy/src/targets/disk.rs
+++ b/crates/understudy/src/targets/disk.rs
@@ -9,10 +9,10 @@
 use playhouse::house::House;
 use playhouse::settings::Spans;
 use promptbook::{Entry, Members, Promptbook, Snapshot, What, Write, WriteNo};
-use props::{Index, Life, Place, Seat, Term};
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
 use script::{Command, Script};
+use types::{Index, Life, Place, Seat, Term};
 use wings::{DiskStore, Folder};
 
 use super::BILL;
@@ -117,7 +117,7 @@
         snapshot,
     };
     let mut script = Script::new();
-    script.apply(0, Index(3), &Command::Replace { base: props::Version(0), text: BILL.into() }.to_bytes());
+    script.apply(0, Index(3), &Command::Replace { base: types::Version(0), text: BILL.into() }.to_bytes());
     let data = script.snapshot();
     let snapshot = Snapshot { index: Index(3), term: Term(1), members: Members(vec![seat(1)]), data };
     vec![write(&[1, 2, 3, 4, 5, 6], None), write(&[], Some(snapshot))]
@@ -408,7 +408,7 @@
         part: Part::Prompter,
         zone: "z".into(),
         name: "n".into(),
-        edition: props::Edition::OWN,
+        edition: types::Edition::OWN,
     };
     House::start(own, vec![Place([10, 0, 0, 2].into())], 1_500_000, seed, 0)
 }
@@ -439,7 +439,7 @@
                 warmup_left: 1_000_000 * i64::from(number),
                 sequence: 7,
             };
-            some.beat(1_000, props::Ask(number.into()), beat);
+            some.beat(1_000, types::Ask(number.into()), beat);
         }
         let memory = some.memory(NOW);
         assert!(memory.len() > 60, "it remembers instances");
--- a/crates/understudy/src/targets/orders.rs
+++ b/crates/understudy/src/targets/orders.rs
@@ -1,7 +1,7 @@
 //! The ordered state: commands of the log, and states that stand in for them.
 
-use props::{Form, Forms, Index, Version};
 use script::{Broken, Command, Outcome, Script, Stamp};
+use types::{Form, Forms, Index, Version};
 
 use super::{BILL, CHANGE, mark_faults};
 use crate::shapes::{frames, joined};
--- a/crates/understudy/src/targets/texts.rs
+++ b/crates/understudy/src/targets/texts.rs
@@ -3,8 +3,8 @@
 use bill::Bill;
 use company::Part;
 use playhouse::settings::{Settings, micros};
-use props::Life;
 use rehearsal::scenario::Scenario;
+use types::Life;
 
 use super::{BILL, CHANGE, mark_faults};
 use crate::{Cost, Shape, Signature, Target};
--- a/crates/understudy/src/targets/words.rs
+++ b/crates/understudy/src/targets/words.rs
@@ -8,8 +8,8 @@
 use playhouse::house::{House, Letter, Word, opened};
 use playhouse::settings::Spans;
 use promptbook::{Members, Saved};
-use props::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
 use script::{Command, Tally, Voice, Vote};
+use types::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
 
 use super::BILL;
 use crate::shapes::{frames, joined};
--- a/crates/wings/src/incoming.rs
+++ b/crates/wings/src/incoming.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use props::Carrier;
 use tokio::io::{AsyncRead, AsyncReadExt, BufReader};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{Semaphore, mpsc};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
+use types::Carrier;
 
 use crate::Arrived;
 use crate::post::PostLimits;
--- a/crates/wings/src/lib.rs
+++ b/crates/wings/src/lib.rs
@@ -13,8 +13,8 @@
 
 use std::net::Ipv4Addr;
 
-use props::Carrier;
 use tokio::sync::mpsc;
+use types::Carrier;
 
 pub use disk::{DirFolder, DiskStore, Folder};
 pub use hand::{DiskHand, Done};
--- a/crates/wings/src/memory_post.rs
+++ b/crates/wings/src/memory_post.rs
@@ -5,8 +5,8 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-use props::Carrier;
 use tokio::sync::mpsc;
+use types::Carrier;
 
 use crate::{Arrived, Incoming, Transport};
 
--- a/crates/wings/src/post.rs
+++ b/crates/wings/src/post.rs
@@ -45,7 +45,7 @@
 impl Default for PostLimits {
     fn default() -> Self {
         Self {
-            datagram: props::DATAGRAM_BYTES,
+            datagram: types::DATAGRAM_BYTES,
             message: 16 << 20,
             queue: 4 << 20,
             peers: 128,
--- a/crates/wings/tests/contracts.rs
+++ b/crates/wings/tests/contracts.rs
@@ -4,7 +4,7 @@
 
 use common::{body, free_port, next, place, play};
 use ledger::{Batch, Store};
-use props::Carrier;
+use types::Carrier;
 use wings::{Arrived, DiskStore, Incoming, MemoryHall, MemoryStore, Post, PostLimits, Transport};
 
 /// Short and long messages come whole, from the place that sent them, both ways; words to a place where
--- a/crates/wings/tests/power.rs
+++ b/crates/wings/tests/power.rs
@@ -6,8 +6,8 @@
 
 use ledger::{Batch, Ledger, Store, StoreError};
 use promptbook::{Entry, Members, Saved, Snapshot, What, Write, WriteNo};
-use props::{Index, Life, Term};
 use redb::StorageBackend;
+use types::{Index, Life, Term};
 use wings::{DiskStore, Folder};
 
 #[derive(Clone, Debug)]
--- a/crates/wings/tests/trouble.rs
+++ b/crates/wings/tests/trouble.rs
@@ -7,10 +7,10 @@
 use common::{LONG, body, free_port, next, place, play};
 use ledger::{Ledger, StoreError};
 use promptbook::{Entry, What, Write, WriteNo};
-use props::{Index, Life, Term};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
+use types::{Index, Life, Term};
 use wings::{
     Arrived, DiskHand, DiskStore, Done, Fault, MemoryHall, MemoryStore, Post, PostLimits, Transport,
 };
