--- a/crates/promptbook/tests/proof.rs
+++ b/crates/consensus/tests/proof.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-use promptbook::{Effect, Event, Losses, Members, Message, Promptbook, Saved, Timing};
+use consensus::{Effect, Event, Losses, Members, Message, Promptbook, Saved, Timing};
 use types::{Life, MS, Micros, Place, SECOND, Seat};
 
 const TIMING: Timing = Timing {
--- a/crates/extras/src/kind.rs
+++ b/crates/extras/src/kind.rs
@@ -102,8 +102,8 @@
     }
 }
 
-fn of_book(message: &promptbook::Message) -> usize {
-    use promptbook::{Message, Word};
+fn of_book(message: &consensus::Message) -> usize {
+    use consensus::{Message, Word};
     match message {
         Message::Knock => 21,
         Message::Leader { .. } => 22,
--- a/crates/extras/src/world.rs
+++ b/crates/extras/src/world.rs
@@ -11,12 +11,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use consensus::Write;
 use cpu_time::ThreadTime;
 use garnetdoor::host::{Ending, TicketId, TripNo};
 use oorandom::Rand64;
 use peak_alloc::PeakAlloc;
 use playhouse::settings::Settings;
-use promptbook::Write;
 use rehearsal::queue::Queue;
 use types::{MS, Micros, Place, SECOND};
 
--- a/crates/ledger/src/form.rs
+++ b/crates/ledger/src/form.rs
@@ -1,6 +1,6 @@
 //! Keys, and the form of the values under them: a version, a checksum, the bytes.
 
-use promptbook::{Entry, Members, Saved, Snapshot, What};
+use consensus::{Entry, Members, Saved, Snapshot, What};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use types::{Index, Life, Seat, Term};
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod note;
 mod store;
 
-use promptbook::{Saved, Write};
+use consensus::{Saved, Write};
 use thiserror::Error;
 use types::{Index, Life};
 
--- a/crates/playhouse/src/commands/ledger.rs
+++ b/crates/playhouse/src/commands/ledger.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use ::ledger::{Ledger, LedgerError, Opened};
-use promptbook::{Members, Snapshot, What, Write, WriteNo};
+use consensus::{Members, Snapshot, What, Write, WriteNo};
 use script::{Command, Outcome, Script};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -6,8 +6,8 @@
 
 use cast::{Beat, InstanceId};
 use company::{Part, Standing};
+use consensus::{Effect, Entry, Event, Members, Message, Promptbook, Release, Saved, What, Write, WriteNo};
 use intent::{Inspector, inspector};
-use promptbook::{Effect, Entry, Event, Members, Message, Promptbook, Release, Saved, What, Write, WriteNo};
 use script::{Command, Count, Outcome};
 use types::{Ask, Carrier, Form, Index, MS, Micros, Place, SECOND, Seat};
 
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -22,7 +22,7 @@
     Cast(cast::Message),
     Book {
         from: Seat,
-        message: promptbook::Message,
+        message: consensus::Message,
     },
     Vote(script::Vote),
     Intent(intent::Word),
@@ -114,7 +114,7 @@
     Peers,
     Book {
         from: Seat,
-        message: promptbook::Message,
+        message: consensus::Message,
     },
     Vote {
         from: Place,
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -10,11 +10,11 @@
 
 use bytes::Bytes;
 use company::Part;
+use consensus::{Members, Saved};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode, header};
 use ledger::{Ledger, LedgerError, Opened, StoreError};
-use promptbook::{Members, Saved};
 use script::{Command, Outcome};
 use simd_json::prelude::*;
 use tokio::sync::oneshot;
--- a/crates/playhouse/src/ring.rs
+++ b/crates/playhouse/src/ring.rs
@@ -27,7 +27,7 @@
 /// Packages whose lines are kept; others' say little about what this system did.
 pub const OWN: [&str; 11] = [
     "playhouse",
-    "promptbook",
+    "consensus",
     "replication",
     "company",
     "cast",
--- a/crates/playhouse/src/settings.rs
+++ b/crates/playhouse/src/settings.rs
@@ -145,7 +145,7 @@
 #[derive(Clone, Debug)]
 pub struct Spans {
     /// Of the ordered log.
-    pub book: promptbook::Timing,
+    pub book: consensus::Timing,
     /// Of the votes on trials.
     pub count: script::CountSettings,
     /// `DrainS`.
@@ -170,7 +170,7 @@
         let election = within(contact * 7 / 30, 450 * MS, 700 * MS);
         let share = |(lost, all): (usize, usize)| lost.min(all) * 1000 / all.max(1);
         let parts = [(losses.zones, zones), (losses.region_losses, regions)];
-        let book = promptbook::Timing {
+        let book = consensus::Timing {
             beat: election * 3 / 14,
             election,
             // A machine that is back has `CatchUpS` to be let in again; one that is not back for twice that is taken for gone.
@@ -178,7 +178,7 @@
             // Of a successor's `CatchUpS` an election may take up to two spans, the letting in a tenth.
             succeed: within(catch_up / 4, election, 2 * SECOND),
             knock: within(catch_up / 8, 200 * MS, SECOND),
-            losses: promptbook::Losses {
+            losses: consensus::Losses {
                 machines: losses.machine_losses,
                 parts: parts.into_iter().max_by_key(|part| share(*part)).unwrap_or_default(),
             },
--- a/crates/playhouse/src/troubles.rs
+++ b/crates/playhouse/src/troubles.rs
@@ -1,7 +1,7 @@
 //! Troubles (what a prompter's driver watches for, to tell of it once): writes that hang, roll-outs that went
 //! back. No I/O.
 
-use promptbook::WriteNo;
+use consensus::WriteNo;
 use types::{Index, Micros, SECOND};
 
 /// A write that waits longer has been left by a disk that hangs.
--- a/crates/playhouse/tests/commands.rs
+++ b/crates/playhouse/tests/commands.rs
@@ -10,12 +10,12 @@
 use std::time::{Duration, Instant};
 
 use company::{Member, Part};
+use consensus::WriteNo;
 use playhouse::demo::operator::{Route, change, items, json, whole};
 use playhouse::demo::stage::{NodeNo, Plan, Stage};
 use playhouse::house::House;
 use playhouse::ring::{Allowance, OWN, Pace, Ring};
 use playhouse::troubles::Writes;
-use promptbook::WriteNo;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use types::{Edition, Index, Life, Place, SECOND};
--- a/crates/playhouse/tests/forms.rs
+++ b/crates/playhouse/tests/forms.rs
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 
 use company::{Member, Part};
+use consensus::{Entry, Members, What, Write, WriteNo};
 use ledger::Ledger;
 use playhouse::control::{self, Control, Told};
 use playhouse::floor::{self, Floor};
 use playhouse::house::{House, Word};
 use playhouse::settings::{Settings, Spans};
-use promptbook::{Entry, Members, What, Write, WriteNo};
 use script::{Command, Outcome, Script, Stamp};
 use simd_json::prelude::*;
 use types::{
--- a/crates/playhouse/tests/members.rs
+++ b/crates/playhouse/tests/members.rs
@@ -4,10 +4,10 @@
 use std::net::Ipv4Addr;
 
 use company::{Member, Part};
+use consensus::{Members, Release, Saved};
 use playhouse::control::{Control, In, Out};
 use playhouse::house::House;
 use playhouse::settings::{Settings, Spans};
-use promptbook::{Members, Release, Saved};
 use types::{Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat};
 
 /// A settings file with these tables at its end.
--- a/crates/rehearsal/src/exhaust/stage.rs
+++ b/crates/rehearsal/src/exhaust/stage.rs
@@ -8,7 +8,7 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-use promptbook::{
+use consensus::{
     Effect, Entry, Event, Losses, Marks, Members, Message, Promptbook, Saved, Timing, Word, Write,
 };
 use types::{Ask, Index, Life, MS, Micros, Place, SECOND, Seat, Term};
--- a/crates/rehearsal/src/exhaust/starts.rs
+++ b/crates/rehearsal/src/exhaust/starts.rs
@@ -1,6 +1,6 @@
 //! States that explorations begin in, each played to from the first start of all by steps of the same kinds.
 
-use promptbook::{Entry, What, Word};
+use consensus::{Entry, What, Word};
 use types::Index;
 
 use super::stage::{Bounds, Planted, Stage, Step};
--- a/crates/rehearsal/src/world/machine.rs
+++ b/crates/rehearsal/src/world/machine.rs
@@ -5,9 +5,9 @@
 use std::net::Ipv4Addr;
 
 use company::{Member, Part};
+use consensus::Write;
 use playhouse::house::House;
 use playhouse::settings::{Settings, micros};
-use promptbook::Write;
 use types::{Carrier, Life, MS, Micros, Place, SECOND};
 use wings::{Fault, MemoryStore};
 
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -14,10 +14,10 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
+use consensus::Write;
 use garnetdoor::host::{Ending, TicketId};
 use oorandom::Rand64;
 use playhouse::settings::Settings;
-use promptbook::Write;
 use types::{Carrier, MS, Micros, Place, SECOND};
 
 use crate::plant::Planted;
--- a/crates/rehearsal/src/world/net.rs
+++ b/crates/rehearsal/src/world/net.rs
@@ -111,7 +111,7 @@
 impl World {
     /// What goes over the wire tells how near a day comes to the cores' bounds.
     fn count(&mut self, from: usize, word: &Word) {
-        use promptbook::{Message, Word as Said};
+        use consensus::{Message, Word as Said};
         let Word::Book { message: Message::Said { term, word, .. }, .. } = word else { return };
         match word {
             Said::Piece { at: 0, .. } => self.counts.states += 1,
--- a/crates/understudy/src/targets/disk.rs
+++ b/crates/understudy/src/targets/disk.rs
@@ -5,10 +5,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use company::{Member, Part};
+use consensus::{Entry, Members, Promptbook, Snapshot, What, Write, WriteNo};
 use ledger::{Batch, Ledger, LedgerError, Pairs, Step, Store, StoreError, note};
 use playhouse::house::House;
 use playhouse::settings::Spans;
-use promptbook::{Entry, Members, Promptbook, Snapshot, What, Write, WriteNo};
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
 use script::{Command, Script};
--- a/crates/understudy/src/targets/words.rs
+++ b/crates/understudy/src/targets/words.rs
@@ -4,10 +4,10 @@
 
 use cast::{Beat, InstanceId};
 use company::{Member, Part};
+use consensus::{Members, Saved};
 use playhouse::control::{Control, In, Out};
 use playhouse::house::{House, Letter, Word, opened};
 use playhouse::settings::Spans;
-use promptbook::{Members, Saved};
 use script::{Command, Tally, Voice, Vote};
 use types::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
 
@@ -228,7 +228,7 @@
         Word::Company(message) => variant(&message.talk),
         Word::Board(message) => variant(message),
         Word::Cast(message) => variant(message),
-        Word::Book { message: promptbook::Message::Said { word, .. }, .. } => 16 + variant(word),
+        Word::Book { message: consensus::Message::Said { word, .. }, .. } => 16 + variant(word),
         Word::Book { message, .. } => variant(message),
         Word::Vote(vote) => variant(&vote.voice),
         Word::Intent(word) => variant(word),
--- a/crates/wings/src/hand.rs
+++ b/crates/wings/src/hand.rs
@@ -8,8 +8,8 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+use consensus::{Write, WriteNo};
 use ledger::{Ledger, LedgerError, Store};
-use promptbook::{Write, WriteNo};
 use tokio::sync::mpsc;
 
 /// Most writes that wait in the queue, and most that wait out a failing disk.
--- a/crates/wings/tests/power.rs
+++ b/crates/wings/tests/power.rs
@@ -4,8 +4,8 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
+use consensus::{Entry, Members, Saved, Snapshot, What, Write, WriteNo};
 use ledger::{Batch, Ledger, Store, StoreError};
-use promptbook::{Entry, Members, Saved, Snapshot, What, Write, WriteNo};
 use redb::StorageBackend;
 use types::{Index, Life, Term};
 use wings::{DiskStore, Folder};
--- a/crates/wings/tests/trouble.rs
+++ b/crates/wings/tests/trouble.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use common::{LONG, body, free_port, next, place, play};
+use consensus::{Entry, What, Write, WriteNo};
 use ledger::{Ledger, StoreError};
-use promptbook::{Entry, What, Write, WriteNo};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
