--- a/crates/script/examples/measure.rs
+++ b/crates/control-state/examples/measure.rs
@@ -1,9 +1,9 @@
 //! By hand: bytes of a state that knows as many changes as it may, and the time of a change's digest.
-//! `cargo run --release -p script --example measure`
+//! `cargo run --release -p control-state --example measure`
 
 use std::time::Instant;
 
-use script::{Command, Script};
+use control_state::{Command, Script};
 use types::{Form, Index, SECOND, Version};
 
 fn main() {
--- a/crates/script/tests/count.rs
+++ b/crates/control-state/tests/count.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use script::{Command, Count, CountSettings, Script, Tally, Voice, Vote};
+use control_state::{Command, Count, CountSettings, Script, Tally, Voice, Vote};
 use types::{Index, MS, Micros, Place, SECOND};
 
 fn place(n: usize) -> Place {
--- a/crates/script/tests/repeats.rs
+++ b/crates/control-state/tests/repeats.rs
@@ -3,7 +3,7 @@
 mod shared;
 
 use bill::Version;
-use script::{Command, Outcome, Script, Stamp, State};
+use control_state::{Command, Outcome, Script, Stamp, State};
 use shared::{modify, oorandom, order, replace, seen};
 use types::{Form, Index, MS, Micros, SECOND};
 
--- a/crates/script/tests/shared/mod.rs
+++ b/crates/control-state/tests/shared/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test file uses some of these")]
 
 use bill::Version;
-use script::Command;
+use control_state::Command;
 use types::SECOND;
 
 pub fn text(version: u32, weight: u32) -> Vec<u8> {
--- a/crates/extras/src/sockets/part.rs
+++ b/crates/extras/src/sockets/part.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use clap::Args;
+use control_state::{Command, Outcome};
 use cpu_time::ProcessTime;
 use playhouse::control::Told as Answer;
 use playhouse::settings::Settings;
-use script::{Command, Outcome};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 use types::{Ask, Micros, Place, Version};
--- a/crates/extras/src/world/callers.rs
+++ b/crates/extras/src/world/callers.rs
@@ -3,9 +3,9 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use cast::{Beat, InstanceId};
+use control_state::{Command, Outcome};
 use garnetdoor::host::{Ending, TicketId, TripNo};
 use playhouse::control::Told;
-use script::{Command, Outcome};
 use types::{Ask, MS, Micros, Place, SECOND, Version};
 
 use super::{Event, World};
--- a/crates/extras/src/world/node.rs
+++ b/crates/extras/src/world/node.rs
@@ -4,12 +4,12 @@
 
 use company::{Member, Part};
 use consensus::{Members, Saved, Write, WriteNo};
+use control_state::Command;
 use garnetdoor::host::{Ending, TicketId, TripNo};
 use playhouse::control::{self, Control, Told};
 use playhouse::floor::{self, Floor};
 use playhouse::house::{House, Letter};
 use playhouse::settings::{Settings, micros};
-use script::Command;
 use types::{Ask, Carrier, Life, Micros, Place, Seat};
 
 use super::report::Spent;
--- a/crates/intent/src/parts.rs
+++ b/crates/intent/src/parts.rs
@@ -3,7 +3,7 @@
 //! shows of an intent is an `Act`, and `Row::chance` tells how likely it is under one.
 
 use bill::{Bill, Kind, Route};
-use script::Rollout;
+use control_state::Rollout;
 use serde::{Deserialize, Serialize};
 use types::Index;
 
--- a/crates/playhouse/src/commands/ledger.rs
+++ b/crates/playhouse/src/commands/ledger.rs
@@ -7,7 +7,7 @@
 
 use ::ledger::{Ledger, LedgerError, Opened};
 use consensus::{Members, Snapshot, What, Write, WriteNo};
-use script::{Command, Outcome, Script};
+use control_state::{Command, Outcome, Script};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use types::{Index, Life, Place, Seat, Term};
--- a/crates/playhouse/src/commands/view.rs
+++ b/crates/playhouse/src/commands/view.rs
@@ -120,15 +120,15 @@
 }
 
 /// A roll-out's state as it is written in answers.
-pub fn rollout_state(state: script::State) -> &'static str {
+pub fn rollout_state(state: control_state::State) -> &'static str {
     match state {
-        script::State::InProgress => "in_progress",
-        script::State::Completed => "completed",
-        script::State::Reverted => "reverted",
+        control_state::State::InProgress => "in_progress",
+        control_state::State::Completed => "completed",
+        control_state::State::Reverted => "reverted",
     }
 }
 
-fn trial(control: &Control, now: Micros, rollout: &script::Rollout) -> OwnedValue {
+fn trial(control: &Control, now: Micros, rollout: &control_state::Rollout) -> OwnedValue {
     let votes = control.votes(now, &rollout.service).map(|votes| {
         simd_json::json!({
             "On": votes.ons, "Back": votes.backs, "Trial": votes.trial, "TrialFailed": votes.failed,
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -7,8 +7,8 @@
 use cast::{Beat, InstanceId};
 use company::{Part, Standing};
 use consensus::{Effect, Entry, Event, Members, Message, Promptbook, Release, Saved, What, Write, WriteNo};
+use control_state::{Command, Count, Outcome};
 use intent::{Inspector, inspector};
-use script::{Command, Count, Outcome};
 use types::{Ask, Carrier, Form, Index, MS, Micros, Place, SECOND, Seat};
 
 use crate::house::{Happened, House, Letter, Word};
@@ -229,7 +229,7 @@
     }
 
     /// The foyers' votes on a service's trial, as they stand here.
-    pub fn votes(&self, now: Micros, service: &str) -> Option<script::Votes> {
+    pub fn votes(&self, now: Micros, service: &str) -> Option<control_state::Votes> {
         self.count.votes(now, service)
     }
 
--- a/crates/playhouse/src/floor/desk.rs
+++ b/crates/playhouse/src/floor/desk.rs
@@ -9,6 +9,7 @@
 
 use bill::{Bill, Kind};
 use cast::{InstanceId, State};
+use control_state::{Rollout, Tally, Voice};
 use garnetdoor::balance::Balance;
 use garnetdoor::host::{
     BuildNo, CellId, Condition, GatewayId, Host, KindId, Listing, News, Phase, ProfileId, Refusal, ServerId,
@@ -17,7 +18,6 @@
 use indexmap::IndexMap;
 use load::{Bounds, Fleet, Profiles, Share, VOTE_LIFE};
 use purse::Purse;
-use script::{Rollout, Tally, Voice};
 use types::Micros;
 
 /// What the decisions have asked for.
@@ -326,9 +326,9 @@
     pub fn rollout(&mut self, now: Micros, cap: f64, rollout: &Rollout) {
         let phase = match rollout.state {
             None => return,
-            Some(script::State::InProgress) => Phase::OnTrial,
-            Some(script::State::Completed) => Phase::Released,
-            Some(script::State::Reverted) => Phase::Withdrawn,
+            Some(control_state::State::InProgress) => Phase::OnTrial,
+            Some(control_state::State::Completed) => Phase::Released,
+            Some(control_state::State::Reverted) => Phase::Withdrawn,
         };
         let (number, since) = (rollout.number, rollout.since);
         self.trial = rollout.in_progress().then_some(Trial { number, since, cap });
@@ -355,7 +355,7 @@
     }
 
     /// This foyer's word on the trial of the service, if there is one.
-    pub fn vote(&self, now: Micros) -> Option<script::Vote> {
+    pub fn vote(&self, now: Micros) -> Option<control_state::Vote> {
         let Trial { number, since, .. } = *self.trial.as_ref()?;
         let back = self
             .voted
@@ -367,7 +367,7 @@
             _ => Voice::Wait,
         };
         let (service, age) = (self.service.to_string(), now - since);
-        let mut vote = script::Vote {
+        let mut vote = control_state::Vote {
             service,
             number,
             voice,
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -18,10 +18,10 @@
 
 use crate::house::{Happened, House, Letter, Word};
 use crate::settings::{Settings, micros};
+use control_state::Outcome;
 use desk::{Desk, Do, Seen};
 use load::{Bounds, Fleet, Share};
 use purse::{Party, Purse};
-use script::Outcome;
 
 const VOTES_EVERY: Micros = SECOND;
 /// A foyer that knows instances of some services opens after this without the others: two beats are under it.
@@ -588,7 +588,7 @@
     /// Tells the prompters how each trial looks from here.
     fn tell_votes(&mut self, now: Micros) {
         self.votes_due = now + VOTES_EVERY;
-        let votes: Vec<script::Vote> = self.desks.values().filter_map(|desk| desk.vote(now)).collect();
+        let votes: Vec<control_state::Vote> = self.desks.values().filter_map(|desk| desk.vote(now)).collect();
         if votes.is_empty() {
             return;
         }
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -7,8 +7,8 @@
 
 use cast::Cast;
 use company::{Company, Member, Part, Standing};
+use control_state::{Broken, Outcome, Script};
 use replication::Replicator;
-use script::{Broken, Outcome, Script};
 use serde::{Deserialize, Serialize};
 use types::{Ask, Carrier, Edition, Form, Index, MS, Micros, Place, Program, SECOND, Seat};
 
@@ -24,7 +24,7 @@
         from: Seat,
         message: consensus::Message,
     },
-    Vote(script::Vote),
+    Vote(control_state::Vote),
     Intent(intent::Word),
     /// By a leader, to a node that does not read the form that is agreed, and so is not let in.
     NotLetIn {
@@ -118,7 +118,7 @@
     },
     Vote {
         from: Place,
-        vote: script::Vote,
+        vote: control_state::Vote,
     },
     Intent {
         from: Place,
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -11,11 +11,11 @@
 use bytes::Bytes;
 use company::Part;
 use consensus::{Members, Saved};
+use control_state::{Command, Outcome};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode, header};
 use ledger::{Ledger, LedgerError, Opened, StoreError};
-use script::{Command, Outcome};
 use simd_json::prelude::*;
 use tokio::sync::oneshot;
 use types::{Ask, Life, Micros, Place, SECOND, Seat};
@@ -390,15 +390,15 @@
     })
 }
 
-fn rollout(script: &script::Script, service: &str) -> Answer {
+fn rollout(script: &control_state::Script, service: &str) -> Answer {
     let found = script.rollouts.get(service).and_then(|rollout| Some((rollout, rollout.state?)));
     let Some((rollout, state)) = found else {
         return fault(StatusCode::NOT_FOUND, "no roll-out of this service");
     };
     let state = match state {
-        script::State::InProgress => "in_progress",
-        script::State::Completed => "completed",
-        script::State::Reverted => "reverted",
+        control_state::State::InProgress => "in_progress",
+        control_state::State::Completed => "completed",
+        control_state::State::Reverted => "reverted",
     };
     let value = simd_json::json!({ "State": state, "TargetVersion": rollout.target.clone() });
     reply(StatusCode::OK, value.encode())
--- a/crates/playhouse/src/ring.rs
+++ b/crates/playhouse/src/ring.rs
@@ -31,7 +31,7 @@
     "replication",
     "company",
     "cast",
-    "script",
+    "control_state",
     "bill",
     "purse",
     "ledger",
--- a/crates/playhouse/src/settings.rs
+++ b/crates/playhouse/src/settings.rs
@@ -147,7 +147,7 @@
     /// Of the ordered log.
     pub book: consensus::Timing,
     /// Of the votes on trials.
-    pub count: script::CountSettings,
+    pub count: control_state::CountSettings,
     /// `DrainS`.
     pub drain: Micros,
     /// `AckS`.
@@ -184,10 +184,10 @@
             },
             piece: 256 << 10,
         };
-        let usual = script::CountSettings::default();
+        let usual = control_state::CountSettings::default();
         let rollback = micros(bounds.rollback_s);
         // A verdict's way to all foyers takes the rest of `RollbackS`.
-        let count = script::CountSettings {
+        let count = control_state::CountSettings {
             lone_stands: within(rollback * 2 / 5, 0, usual.lone_stands),
             again_after: within(rollback / 5, 200 * MS, usual.again_after),
             ..usual
--- a/crates/playhouse/tests/cut.rs
+++ b/crates/playhouse/tests/cut.rs
@@ -8,12 +8,12 @@
 use cast::{Beat, InstanceId};
 use company::{Member, Part};
 use consensus::{Members, Write};
+use control_state::{Command, Outcome};
 use ledger::Ledger;
 use playhouse::control::{self, Control, Told};
 use playhouse::floor::{self, Floor};
 use playhouse::house::House;
 use playhouse::settings::{Settings, Spans};
-use script::{Command, Outcome};
 use types::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
 use wings::MemoryStore;
 
--- a/crates/playhouse/tests/forms.rs
+++ b/crates/playhouse/tests/forms.rs
@@ -8,12 +8,12 @@
 
 use company::{Member, Part};
 use consensus::{Entry, Members, What, Write, WriteNo};
+use control_state::{Command, Outcome, Script, Stamp};
 use ledger::Ledger;
 use playhouse::control::{self, Control, Told};
 use playhouse::floor::{self, Floor};
 use playhouse::house::{House, Word};
 use playhouse::settings::{Settings, Spans};
-use script::{Command, Outcome, Script, Stamp};
 use simd_json::prelude::*;
 use types::{
     Ask, Carrier, Edition, Form, Forms, Index, Life, MS, Micros, Place, Program, SECOND, Seat, Term, Version,
--- a/crates/rehearsal/src/plant.rs
+++ b/crates/rehearsal/src/plant.rs
@@ -344,7 +344,7 @@
                 None => continue,
             };
             if let Some(rollout) = script.rollouts.get_mut(&service) {
-                rollout.state = Some(script::State::InProgress);
+                rollout.state = Some(control_state::State::InProgress);
                 rollout.target.clone_from(&target);
             }
         }
--- a/crates/rehearsal/src/world/operators.rs
+++ b/crates/rehearsal/src/world/operators.rs
@@ -6,7 +6,7 @@
 
 use bill::Bill;
 use cast::{Beat, InstanceId};
-use script::{Command, State};
+use control_state::{Command, State};
 use simd_json::OwnedValue;
 use types::{MS, Micros, Place, SECOND, Version};
 
--- a/crates/rehearsal/src/world/prompter.rs
+++ b/crates/rehearsal/src/world/prompter.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use consensus::{Members, Saved, Write};
+use control_state::{Command, Outcome};
 use ledger::Ledger;
 use playhouse::control::{Control, In, Out, Told};
 use playhouse::house::Word;
-use script::{Command, Outcome};
 use types::{Ask, Life, Micros, Place, Seat};
 use wings::MemoryStore;
 
--- a/crates/understudy/src/targets/orders.rs
+++ b/crates/understudy/src/targets/orders.rs
@@ -1,6 +1,6 @@
 //! The ordered state: commands of the log, and states that stand in for them.
 
-use script::{Broken, Command, Outcome, Script, Stamp};
+use control_state::{Broken, Command, Outcome, Script, Stamp};
 use types::{Form, Forms, Index, Version};
 
 use super::{BILL, CHANGE, mark_faults};
--- a/crates/understudy/src/targets/words.rs
+++ b/crates/understudy/src/targets/words.rs
@@ -5,10 +5,10 @@
 use cast::{Beat, InstanceId};
 use company::{Member, Part};
 use consensus::{Members, Saved};
+use control_state::{Command, Tally, Voice, Vote};
 use playhouse::control::{Control, In, Out};
 use playhouse::house::{House, Letter, Word, opened};
 use playhouse::settings::Spans;
-use script::{Command, Tally, Voice, Vote};
 use types::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
 
 use super::BILL;
