--- a/crates/extras/src/kind.rs
+++ b/crates/extras/src/kind.rs
@@ -67,15 +67,15 @@
 pub fn of(word: &Word) -> usize {
     match word {
         Word::Company(message) => match message.talk {
-            company::Talk::Join => 0,
-            company::Talk::News => 1,
-            company::Talk::Probe { .. } => 2,
-            company::Talk::Answer { .. } => 3,
-            company::Talk::AskFor { .. } => 4,
-            company::Talk::Vouch { .. } => 5,
-            company::Talk::Doubt { .. } => 6,
-            company::Talk::Who => 7,
-            company::Talk::Compare { .. } => 8,
+            membership::Talk::Join => 0,
+            membership::Talk::News => 1,
+            membership::Talk::Probe { .. } => 2,
+            membership::Talk::Answer { .. } => 3,
+            membership::Talk::AskFor { .. } => 4,
+            membership::Talk::Vouch { .. } => 5,
+            membership::Talk::Doubt { .. } => 6,
+            membership::Talk::Who => 7,
+            membership::Talk::Compare { .. } => 8,
         },
         Word::Board(message) => match message {
             replication::Message::Pieces { .. } => 9,
--- a/crates/extras/src/path.rs
+++ b/crates/extras/src/path.rs
@@ -4,10 +4,10 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use company::Part;
 use cpu_time::ProcessTime;
 use hdrhistogram::Histogram;
 use hyper::Method;
+use membership::Part;
 use playhouse::demo::client::{Ask, Line, Platform};
 use playhouse::demo::instance::{Instance, Plan, Record};
 use playhouse::demo::operator::Operator;
--- a/crates/extras/src/world/node.rs
+++ b/crates/extras/src/world/node.rs
@@ -2,10 +2,10 @@
 
 use std::rc::Rc;
 
-use company::{Member, Part};
 use consensus::{Members, Saved, Write, WriteNo};
 use control_state::Command;
 use garnetdoor::host::{Ending, TicketId, TripNo};
+use membership::{Member, Part};
 use playhouse::control::{self, Control, Told};
 use playhouse::floor::{self, Floor};
 use playhouse::house::{House, Letter};
--- a/crates/company/tests/earlier_life.rs
+++ b/crates/membership/tests/earlier_life.rs
@@ -2,7 +2,9 @@
 
 use std::net::Ipv4Addr;
 
-use company::{Company, Effect, Event, Incarnation, Member, Message, Number, Part, Standing, Talk, Timing};
+use membership::{
+    Company, Effect, Event, Incarnation, Member, Message, Number, Part, Standing, Talk, Timing,
+};
 use types::{Edition, Life, MS, Micros, Place, SECOND};
 
 fn member(node: u8, life: u64) -> Member {
--- a/crates/company/tests/world.rs
+++ b/crates/membership/tests/world.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::Ipv4Addr;
 
-use company::{
+use membership::{
     Company, Effect, Event, Incarnation, MEMBERS_MAX, MESSAGE_BYTES_MAX, Member, Message, Part, Rumor,
     Standing, Talk, Timing,
 };
--- a/crates/playhouse/src/commands/check.rs
+++ b/crates/playhouse/src/commands/check.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use bill::Bill;
-use company::Part;
+use membership::Part;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 
--- a/crates/playhouse/src/commands/mod.rs
+++ b/crates/playhouse/src/commands/mod.rs
@@ -16,8 +16,8 @@
 use std::rc::Rc;
 
 use clap::{CommandFactory, Parser, Subcommand};
-use company::Part;
 use log::LevelFilter;
+use membership::Part;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 
--- a/crates/playhouse/src/commands/view.rs
+++ b/crates/playhouse/src/commands/view.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cast::State;
-use company::{Part, Standing};
+use membership::{Part, Standing};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use types::{Micros, SECOND};
@@ -103,7 +103,7 @@
     })
 }
 
-fn member(house: &House, now: Micros, member: &company::Member, standing: &str) -> OwnedValue {
+fn member(house: &House, now: Micros, member: &membership::Member, standing: &str) -> OwnedValue {
     let part = match member.part {
         Part::Foyer => "foyer",
         Part::Prompter => "prompter",
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 
 use cast::{Beat, InstanceId};
-use company::{Part, Standing};
 use consensus::{Effect, Entry, Event, Members, Message, Promptbook, Release, Saved, What, Write, WriteNo};
 use control_state::{Command, Count, Outcome};
 use intent::{Inspector, inspector};
+use membership::{Part, Standing};
 use types::{Ask, Carrier, Form, Index, MS, Micros, Place, SECOND, Seat};
 
 use crate::house::{Happened, House, Letter, Word};
--- a/crates/playhouse/src/demo/mod.rs
+++ b/crates/playhouse/src/demo/mod.rs
@@ -17,9 +17,9 @@
 use std::time::{Duration, Instant};
 
 use client::{Counts, Crowd, Kind, Platform};
-use company::Part;
 use hyper::{Method, StatusCode};
 use instance::{Instance, Plan, Record};
+use membership::Part;
 use operator::{Operator, Route, change, items, whole};
 use stage::{NodeNo, Stage};
 
--- a/crates/playhouse/src/demo/stage.rs
+++ b/crates/playhouse/src/demo/stage.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-use company::Part;
+use membership::Part;
 
 use crate::settings::VARIABLE;
 
--- a/crates/playhouse/src/demo/unrest.rs
+++ b/crates/playhouse/src/demo/unrest.rs
@@ -7,8 +7,8 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use company::Part;
 use hyper::{Method, StatusCode};
+use membership::Part;
 use oorandom::Rand64;
 
 use super::client::{Ask, Crowd, Kind, Line, Platform};
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 
 use bill::{Bill, Kind};
-use company::Part;
 use garnetdoor::host::{Arrival, Ending, ServerId, Taken, TicketId, TripNo, Vote, Wake};
 use indexmap::IndexMap;
 use intent::{Intent, Usher, usher, ward};
+use membership::Part;
 use types::{Carrier, MS, Micros, Place, SECOND};
 
 use crate::house::{Happened, House, Letter, Word};
--- a/crates/playhouse/src/foyer/mod.rs
+++ b/crates/playhouse/src/foyer/mod.rs
@@ -20,9 +20,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use company::Part;
 use garnetdoor::host::{Ending, TicketId, TripNo};
 use hyper::Response;
+use membership::Part;
 use tokio::sync::oneshot;
 use types::{Life, MS, Micros, Place, SECOND};
 use wings::{Arrived, Post};
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use cast::Cast;
-use company::{Company, Member, Part, Standing};
 use control_state::{Broken, Outcome, Script};
+use membership::{Company, Member, Part, Standing};
 use replication::Replicator;
 use serde::{Deserialize, Serialize};
 use types::{Ask, Carrier, Edition, Form, Index, MS, Micros, Place, Program, SECOND, Seat};
@@ -17,7 +17,7 @@
 /// What nodes say to each other, each word of one room.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Word {
-    Company(company::Message),
+    Company(membership::Message),
     Board(replication::Message),
     Cast(cast::Message),
     Book {
@@ -199,7 +199,7 @@
             Part::Prompter => replication::Mode::Source,
             Part::Foyer => replication::Mode::Follower,
         };
-        let (company, effects) = Company::start(own.clone(), seeds, company::Timing::usual(), seed, now);
+        let (company, effects) = Company::start(own.clone(), seeds, membership::Timing::usual(), seed, now);
         let board = Replicator::start(own.place, mode, Index(0), seed ^ 1, now);
         let cast = Cast::start(own.place, cast::Timing::of_heartbeat(beat), seed ^ 2, now);
         let script = Script::reading(own.edition.forms);
@@ -479,7 +479,7 @@
     pub fn tick(&mut self, now: Micros) {
         self.now = now;
         if self.company.due() <= now {
-            let effects = self.company.step(now, company::Event::Tick);
+            let effects = self.company.step(now, membership::Event::Tick);
             self.company_did(now, effects);
         }
         self.tell_strain(now);
@@ -543,7 +543,7 @@
     fn take(&mut self, now: Micros, from: Place, word: Word) {
         match word {
             Word::Company(message) => {
-                let effects = self.company.step(now, company::Event::Received { from, message });
+                let effects = self.company.step(now, membership::Event::Received { from, message });
                 self.company_did(now, effects);
             }
             Word::Board(message) => {
@@ -573,12 +573,12 @@
 
     /// The settings name other machines that may know others.
     pub fn seeds_changed(&mut self, now: Micros, seeds: Vec<Place>) {
-        let effects = self.company.step(now, company::Event::Seeds { places: seeds });
+        let effects = self.company.step(now, membership::Event::Seeds { places: seeds });
         self.company_did(now, effects);
     }
 
     pub fn leave(&mut self, now: Micros) {
-        let effects = self.company.step(now, company::Event::Leave);
+        let effects = self.company.step(now, membership::Event::Leave);
         self.company_did(now, effects);
     }
 
@@ -639,12 +639,12 @@
         }
     }
 
-    fn company_did(&mut self, now: Micros, effects: Vec<company::Effect>) {
+    fn company_did(&mut self, now: Micros, effects: Vec<membership::Effect>) {
         let mut changed = false;
         for effect in effects {
             match effect {
-                company::Effect::Send { to, message } => self.send(to, Word::Company(message)),
-                company::Effect::Changed { member, standing } => {
+                membership::Effect::Send { to, message } => self.send(to, Word::Company(message)),
+                membership::Effect::Changed { member, standing } => {
                     let level = match standing {
                         Standing::Dead | Standing::Left => log::Level::Info,
                         Standing::Alive | Standing::Suspect => log::Level::Debug,
--- a/crates/playhouse/src/metrics.rs
+++ b/crates/playhouse/src/metrics.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use company::Part;
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode, header};
+use membership::Part;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use company::Part;
 use consensus::{Members, Saved};
 use control_state::{Command, Outcome};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode, header};
 use ledger::{Ledger, LedgerError, Opened, StoreError};
+use membership::Part;
 use simd_json::prelude::*;
 use tokio::sync::oneshot;
 use types::{Ask, Life, Micros, Place, SECOND, Seat};
--- a/crates/playhouse/src/ring.rs
+++ b/crates/playhouse/src/ring.rs
@@ -29,7 +29,7 @@
     "playhouse",
     "consensus",
     "replication",
-    "company",
+    "membership",
     "cast",
     "control_state",
     "bill",
--- a/crates/playhouse/src/settings.rs
+++ b/crates/playhouse/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 
-use company::{Member, Part};
+use membership::{Member, Part};
 use types::{Edition, Life, MS, Micros, Place, SECOND};
 
 /// Where the settings file's path stands.
@@ -212,7 +212,7 @@
 const LARGEST: f64 = 1e9;
 /// Machines, zones or regions that may be lost at once: more than any deployment has.
 const MOST_LOSSES: usize = 10_000;
-/// Bytes of names; among nodes they go cut to `company::NAME_BYTES_MAX`.
+/// Bytes of names; among nodes they go cut to `membership::NAME_BYTES_MAX`.
 const NAME_MOST: usize = 253;
 
 /// Seconds as whole microseconds; what is negative, too long or no number is 0.
--- a/crates/playhouse/tests/commands.rs
+++ b/crates/playhouse/tests/commands.rs
@@ -9,8 +9,8 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use company::{Member, Part};
 use consensus::WriteNo;
+use membership::{Member, Part};
 use playhouse::demo::operator::{Route, change, items, json, whole};
 use playhouse::demo::stage::{NodeNo, Plan, Stage};
 use playhouse::house::House;
--- a/crates/playhouse/tests/cut.rs
+++ b/crates/playhouse/tests/cut.rs
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 
 use cast::{Beat, InstanceId};
-use company::{Member, Part};
 use consensus::{Members, Write};
 use control_state::{Command, Outcome};
 use ledger::Ledger;
+use membership::{Member, Part};
 use playhouse::control::{self, Control, Told};
 use playhouse::floor::{self, Floor};
 use playhouse::house::House;
--- a/crates/playhouse/tests/forms.rs
+++ b/crates/playhouse/tests/forms.rs
@@ -6,10 +6,10 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-use company::{Member, Part};
 use consensus::{Entry, Members, What, Write, WriteNo};
 use control_state::{Command, Outcome, Script, Stamp};
 use ledger::Ledger;
+use membership::{Member, Part};
 use playhouse::control::{self, Control, Told};
 use playhouse::floor::{self, Floor};
 use playhouse::house::{House, Word};
--- a/crates/playhouse/tests/frozen.rs
+++ b/crates/playhouse/tests/frozen.rs
@@ -5,8 +5,8 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use company::Part;
 use hyper::{Method, StatusCode};
+use membership::Part;
 use playhouse::demo::client::{Ask, call};
 use playhouse::demo::instance::{Instance, Plan, Record};
 use playhouse::demo::operator::{Operator, Route, change, items, whole};
--- a/crates/playhouse/tests/loopback.rs
+++ b/crates/playhouse/tests/loopback.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-use company::Part;
 use hyper::{Method, StatusCode};
+use membership::Part;
 use playhouse::demo::client::{Answer, Ask, Crowd, Failed, Kind, Line, Platform, call};
 use playhouse::demo::instance::{Instance, Plan, Print, Record, Seen};
 use playhouse::demo::operator::{Operator, Route, change, items, whole};
--- a/crates/playhouse/tests/members.rs
+++ b/crates/playhouse/tests/members.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-use company::{Member, Part};
 use consensus::{Members, Release, Saved};
+use membership::{Member, Part};
 use playhouse::control::{Control, In, Out};
 use playhouse::house::House;
 use playhouse::settings::{Settings, Spans};
--- a/crates/playhouse/tests/metrics.rs
+++ b/crates/playhouse/tests/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use company::{Member, Part};
+use membership::{Member, Part};
 use playhouse::house::{House, Word};
 use playhouse::metrics::Metrics;
 use replication::{Message, Piece};
--- a/crates/playhouse/tests/restart.rs
+++ b/crates/playhouse/tests/restart.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-use company::Part;
 use hyper::{Method, StatusCode};
+use membership::Part;
 use playhouse::demo::client::{Ask, call};
 use playhouse::demo::operator::{Operator, Route, change, whole};
 use playhouse::demo::stage::{Plan, Stage};
--- a/crates/playhouse/tests/rough.rs
+++ b/crates/playhouse/tests/rough.rs
@@ -7,8 +7,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use company::Part;
 use hyper::Method;
+use membership::Part;
 use playhouse::demo::client::{Ask, call};
 use playhouse::demo::operator::{Operator, Route, whole};
 use playhouse::demo::stage::{self, NodeNo, Stage};
--- a/crates/rehearsal/src/world/machine.rs
+++ b/crates/rehearsal/src/world/machine.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write as _;
 use std::net::Ipv4Addr;
 
-use company::{Member, Part};
 use consensus::Write;
+use membership::{Member, Part};
 use playhouse::house::House;
 use playhouse::settings::{Settings, micros};
 use types::{Carrier, Life, MS, Micros, Place, SECOND};
--- a/crates/rehearsal/src/world/troubles.rs
+++ b/crates/rehearsal/src/world/troubles.rs
@@ -1,6 +1,6 @@
 //! Troubles: what a scenario does to machines, links, disks, instances and operators.
 
-use company::Part;
+use membership::Part;
 use types::{MS, Micros, SECOND};
 
 use super::machine::Process;
--- a/crates/understudy/src/targets/disk.rs
+++ b/crates/understudy/src/targets/disk.rs
@@ -4,10 +4,10 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use company::{Member, Part};
 use consensus::{Entry, Members, Promptbook, Snapshot, What, Write, WriteNo};
 use control_state::{Command, Script};
 use ledger::{Batch, Ledger, LedgerError, Pairs, Step, Store, StoreError, note};
+use membership::{Member, Part};
 use playhouse::house::House;
 use playhouse::settings::Spans;
 use redb::StorageBackend;
--- a/crates/understudy/src/targets/texts.rs
+++ b/crates/understudy/src/targets/texts.rs
@@ -1,7 +1,7 @@
 //! What operators and machines write: configurations, changes of them, settings; and rehearsals' scenarios.
 
 use bill::Bill;
-use company::Part;
+use membership::Part;
 use playhouse::settings::{Settings, micros};
 use rehearsal::scenario::Scenario;
 use types::Life;
--- a/crates/understudy/src/targets/words.rs
+++ b/crates/understudy/src/targets/words.rs
@@ -3,9 +3,9 @@
 use std::net::Ipv4Addr;
 
 use cast::{Beat, InstanceId};
-use company::{Member, Part};
 use consensus::{Members, Saved};
 use control_state::{Command, Tally, Voice, Vote};
+use membership::{Member, Part};
 use playhouse::control::{Control, In, Out};
 use playhouse::house::{House, Letter, Word, opened};
 use playhouse::settings::Spans;
