--- a/crates/extras/src/sockets/part.rs
+++ b/crates/extras/src/sockets/part.rs
@@ -200,7 +200,7 @@
         told.ready += usize::from(one.node.floor().is_some_and(|floor| floor.ready()));
         let Some(house) = one.node.house() else { continue };
         told.whole_company += usize::from(house.company.members().count() + 1 >= machines);
-        let serves = |known: &&cast::Known| known.state == cast::State::InService;
+        let serves = |known: &&registry::Known| known.state == registry::State::InService;
         let known = house.cast.records().filter(serves).count();
         told.whole_cast += usize::from(known >= part.plan.instances);
         let came = one.in_force.iter().find(|(of, _)| *of == version);
--- a/crates/extras/src/world/callers.rs
+++ b/crates/extras/src/world/callers.rs
@@ -2,10 +2,10 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use cast::{Beat, InstanceId};
 use control_state::{Command, Outcome};
 use garnetdoor::host::{Ending, TicketId, TripNo};
 use playhouse::control::Told;
+use registry::{Beat, InstanceId};
 use types::{Ask, MS, Micros, Place, SECOND, Version};
 
 use super::{Event, World};
--- a/crates/extras/src/world/node.rs
+++ b/crates/extras/src/world/node.rs
@@ -190,7 +190,7 @@
         }
     }
 
-    pub fn beat(&mut self, now: Micros, ask: Ask, beat: cast::Beat) -> Vec<Did> {
+    pub fn beat(&mut self, now: Micros, ask: Ask, beat: registry::Beat) -> Vec<Did> {
         self.control(now, control::In::Beat { ask, beat })
     }
 
--- a/crates/extras/src/world/report.rs
+++ b/crates/extras/src/world/report.rs
@@ -92,9 +92,9 @@
         let whole = (0..self.nodes.len()).filter(|at| knows(*at).is_some_and(|n| n + 1 >= size.machines()));
         let whole_company = whole.count();
         let cast = |at: usize| {
-            self.nodes[at]
-                .house()
-                .map(|house| house.cast.records().filter(|one| one.state == cast::State::InService).count())
+            self.nodes[at].house().map(|house| {
+                house.cast.records().filter(|one| one.state == registry::State::InService).count()
+            })
         };
         let whole_cast =
             (0..self.nodes.len()).filter(|at| cast(*at).is_some_and(|n| n >= size.instances)).count();
--- a/crates/playhouse/src/calls.rs
+++ b/crates/playhouse/src/calls.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddrV4;
 
-use cast::{Beat, InstanceId};
 use hyper::{HeaderMap, Method};
+use registry::{Beat, InstanceId};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use types::{Micros, Version};
--- a/crates/playhouse/src/commands/view.rs
+++ b/crates/playhouse/src/commands/view.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use cast::State;
 use membership::{Part, Standing};
+use registry::State;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use types::{Micros, SECOND};
@@ -146,7 +146,7 @@
     })
 }
 
-fn instance(now: Micros, record: &cast::Known) -> OwnedValue {
+fn instance(now: Micros, record: &registry::Known) -> OwnedValue {
     simd_json::json!({
         "Id": record.id.0.clone(), "Service": record.service.clone(), "Address": record.address.to_string(),
         "Zone": record.zone.clone(), "Version": record.version.clone(), "Slots": record.slots,
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-use cast::{Beat, InstanceId};
 use consensus::{Effect, Entry, Event, Members, Message, Promptbook, Release, Saved, What, Write, WriteNo};
 use control_state::{Command, Count, Outcome};
 use intent::{Inspector, inspector};
 use membership::{Part, Standing};
+use registry::{Beat, InstanceId};
 use types::{Ask, Carrier, Form, Index, MS, Micros, Place, SECOND, Seat};
 
 use crate::house::{Happened, House, Letter, Word};
@@ -438,7 +438,7 @@
         let known = |service: &str| rollouts.get(service).is_some_and(|rollout| rollout.current.is_some());
         let records = self.house.cast.records();
         let unknown: Vec<(String, String)> = records
-            .filter(|record| record.state == cast::State::InService && !known(&record.service))
+            .filter(|record| record.state == registry::State::InService && !known(&record.service))
             .map(|record| (record.service.clone(), record.version.clone()))
             .collect();
         for (service, version) in unknown {
--- a/crates/playhouse/src/floor/desk.rs
+++ b/crates/playhouse/src/floor/desk.rs
@@ -8,7 +8,6 @@
 use std::sync::Arc;
 
 use bill::{Bill, Kind};
-use cast::{InstanceId, State};
 use control_state::{Rollout, Tally, Voice};
 use garnetdoor::balance::Balance;
 use garnetdoor::host::{
@@ -18,6 +17,7 @@
 use indexmap::IndexMap;
 use load::{Bounds, Fleet, Profiles, Share, VOTE_LIFE};
 use purse::Purse;
+use registry::{InstanceId, State};
 use types::Micros;
 
 /// What the decisions have asked for.
@@ -228,7 +228,7 @@
     /// Tells the decisions of instances as they are known now, and how many foyers come before this one at each: what they
     /// were told already is not told again.
     pub fn instances<'a>(
-        &mut self, known: impl Iterator<Item = (&'a cast::Known, usize)>, rollout: Option<&Rollout>,
+        &mut self, known: impl Iterator<Item = (&'a registry::Known, usize)>, rollout: Option<&Rollout>,
     ) {
         let news: Vec<Listing> =
             known.filter_map(|(known, before)| self.instance(known, rollout, before)).collect();
@@ -272,7 +272,9 @@
     }
 
     /// One of them; `None`: it never may get tickets, or nothing is new.
-    fn instance(&mut self, known: &cast::Known, rollout: Option<&Rollout>, before: usize) -> Option<Listing> {
+    fn instance(
+        &mut self, known: &registry::Known, rollout: Option<&Rollout>, before: usize,
+    ) -> Option<Listing> {
         let build = rollout.and_then(|rollout| rollout.build_of(&known.version));
         let condition = match (build, known.state) {
             (Some(_), State::InService) => Condition::Healthy,
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -210,7 +210,7 @@
 
     /// How this foyer stands, for people and scripts.
     pub fn status(&self) -> simd_json::OwnedValue {
-        let of = |state: cast::State| {
+        let of = |state: registry::State| {
             self.house.cast.records().filter(|known| known.state == state).count() as u64
         };
         let why = match (self.leaving, &self.bill, self.house.why_unreadable()) {
@@ -237,9 +237,9 @@
             "RequestsInHand": self.open.len() as u64,
             "TurnedBack": self.turned_back,
             "Forfeited": self.forfeited,
-            "InService": of(cast::State::InService),
-            "Silent": of(cast::State::Silent),
-            "Draining": of(cast::State::Draining),
+            "InService": of(registry::State::InService),
+            "Silent": of(registry::State::Silent),
+            "Draining": of(registry::State::Draining),
         })
     }
 
@@ -262,7 +262,7 @@
         let cast = &self.house.cast;
         let known: HashSet<&str> = cast
             .records()
-            .filter(|known| known.state == cast::State::InService)
+            .filter(|known| known.state == registry::State::InService)
             .map(|known| known.service.as_str())
             .collect();
         let mut targets = bill.routes.values().flat_map(|route| &route.targets);
@@ -454,7 +454,7 @@
         }
     }
 
-    fn instance(&mut self, id: &cast::InstanceId) {
+    fn instance(&mut self, id: &registry::InstanceId) {
         let Some(known) = self.house.cast.get(id) else { return };
         let warmup = known.slow_until - known.first_seen;
         if warmup > self.fleet.warmup {
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
 
-use cast::Cast;
 use control_state::{Broken, Outcome, Script};
 use membership::{Company, Member, Part, Standing};
+use registry::Cast;
 use replication::Replicator;
 use serde::{Deserialize, Serialize};
 use types::{Ask, Carrier, Edition, Form, Index, MS, Micros, Place, Program, SECOND, Seat};
@@ -19,7 +19,7 @@
 pub enum Word {
     Company(membership::Message),
     Board(replication::Message),
-    Cast(cast::Message),
+    Cast(registry::Message),
     Book {
         from: Seat,
         message: consensus::Message,
@@ -103,7 +103,7 @@
     },
     /// The state was replaced by a whole newer one.
     Restored,
-    Instance(cast::InstanceId),
+    Instance(registry::InstanceId),
     BeatTaken {
         ask: Ask,
         target: Option<Place>,
@@ -201,7 +201,7 @@
         };
         let (company, effects) = Company::start(own.clone(), seeds, membership::Timing::usual(), seed, now);
         let board = Replicator::start(own.place, mode, Index(0), seed ^ 1, now);
-        let cast = Cast::start(own.place, cast::Timing::of_heartbeat(beat), seed ^ 2, now);
+        let cast = Cast::start(own.place, registry::Timing::of_heartbeat(beat), seed ^ 2, now);
         let script = Script::reading(own.edition.forms);
         let mut house = House {
             own,
@@ -438,7 +438,7 @@
 
     /// The ordered voters, for those who count a majority.
     pub fn voters(&mut self, now: Micros, places: Vec<Place>) {
-        let effects = self.cast.step(now, cast::Event::Voters { places });
+        let effects = self.cast.step(now, registry::Event::Voters { places });
         self.cast_did(effects);
     }
 
@@ -465,7 +465,7 @@
         let Some((proved, asked)) = self.touch else { return };
         let at = if asked { self.board.contact().map(|heard| heard.min(proved)) } else { Some(proved) };
         if let Some(at) = at {
-            let effects = self.cast.step(now, cast::Event::Proved { at });
+            let effects = self.cast.step(now, registry::Event::Proved { at });
             self.cast_did(effects);
         }
     }
@@ -488,7 +488,7 @@
             self.board_did(now, effects);
         }
         if self.cast.due() <= now {
-            let effects = self.cast.step(now, cast::Event::Tick);
+            let effects = self.cast.step(now, registry::Event::Tick);
             self.cast_did(effects);
         }
     }
@@ -506,7 +506,7 @@
         self.strained = strained;
         let effects = self.board.step(now, replication::Event::Strained { strained });
         self.board_did(now, effects);
-        let effects = self.cast.step(now, cast::Event::Strained { strained });
+        let effects = self.cast.step(now, registry::Event::Strained { strained });
         self.cast_did(effects);
     }
 
@@ -556,7 +556,7 @@
                 }
             }
             Word::Cast(message) => {
-                let effects = self.cast.step(now, cast::Event::Received { from, message });
+                let effects = self.cast.step(now, registry::Event::Received { from, message });
                 self.cast_did(effects);
             }
             Word::Book { from, message } => self.happened.push_back(Happened::Book { from, message }),
@@ -582,13 +582,13 @@
         self.company_did(now, effects);
     }
 
-    pub fn beat(&mut self, now: Micros, ask: Ask, beat: cast::Beat) {
-        let effects = self.cast.step(now, cast::Event::Beat { ask, beat });
+    pub fn beat(&mut self, now: Micros, ask: Ask, beat: registry::Beat) {
+        let effects = self.cast.step(now, registry::Event::Beat { ask, beat });
         self.cast_did(effects);
     }
 
-    pub fn detach(&mut self, now: Micros, ask: Ask, id: cast::InstanceId) {
-        let effects = self.cast.step(now, cast::Event::Detach { ask, id });
+    pub fn detach(&mut self, now: Micros, ask: Ask, id: registry::InstanceId) {
+        let effects = self.cast.step(now, registry::Event::Detach { ask, id });
         self.cast_did(effects);
     }
 
@@ -676,7 +676,7 @@
         }
         let own = (self.own.part == Part::Prompter).then_some(self.own.place);
         let hubs = own.into_iter().chain(hubs).collect();
-        let effects = self.cast.step(now, cast::Event::Peers { hubs, others });
+        let effects = self.cast.step(now, registry::Event::Peers { hubs, others });
         self.cast_did(effects);
         if self.own.part == Part::Prompter {
             self.tell_watchers(now);
@@ -714,21 +714,21 @@
     fn tell_watchers(&mut self, now: Micros) {
         self.watchers_told = self.board.watchers_changes();
         let (by, unwatching) = (self.board.watchers().collect(), self.unwatching.clone());
-        let effects = self.cast.step(now, cast::Event::Watched { by, unwatching });
+        let effects = self.cast.step(now, registry::Event::Watched { by, unwatching });
         self.cast_did(effects);
     }
 
-    fn cast_did(&mut self, effects: Vec<cast::Effect>) {
+    fn cast_did(&mut self, effects: Vec<registry::Effect>) {
         for effect in effects {
             match effect {
-                cast::Effect::Send { to, message } => self.send(to, Word::Cast(message)),
-                cast::Effect::Insist { to } => self.paths.insist(self.now, to),
-                cast::Effect::Taken { ask, target } => {
+                registry::Effect::Send { to, message } => self.send(to, Word::Cast(message)),
+                registry::Effect::Insist { to } => self.paths.insist(self.now, to),
+                registry::Effect::Taken { ask, target } => {
                     self.happened.push_back(Happened::BeatTaken { ask, target });
                 }
-                cast::Effect::NotTaken { ask } => self.happened.push_back(Happened::BeatNotTaken { ask }),
-                cast::Effect::Changed { record } => {
-                    if record.state == cast::State::Silent {
+                registry::Effect::NotTaken { ask } => self.happened.push_back(Happened::BeatNotTaken { ask }),
+                registry::Effect::Changed { record } => {
+                    if record.state == registry::State::Silent {
                         log::info!("instance {} of {} is silent", record.id.0, record.service);
                     }
                     self.happened.push_back(Happened::Instance(record.id));
--- a/crates/playhouse/src/ring.rs
+++ b/crates/playhouse/src/ring.rs
@@ -30,7 +30,7 @@
     "consensus",
     "replication",
     "membership",
-    "cast",
+    "registry",
     "control_state",
     "bill",
     "purse",
--- a/crates/playhouse/tests/cut.rs
+++ b/crates/playhouse/tests/cut.rs
@@ -5,7 +5,6 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-use cast::{Beat, InstanceId};
 use consensus::{Members, Write};
 use control_state::{Command, Outcome};
 use ledger::Ledger;
@@ -14,6 +13,7 @@
 use playhouse::floor::{self, Floor};
 use playhouse::house::House;
 use playhouse::settings::{Settings, Spans};
+use registry::{Beat, InstanceId};
 use types::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
 use wings::MemoryStore;
 
--- a/crates/playhouse/tests/exchange.rs
+++ b/crates/playhouse/tests/exchange.rs
@@ -13,7 +13,6 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use cast::InstanceId;
 use garnetdoor::host::Ending;
 use http_body_util::BodyExt;
 use hyper::body::Frame;
@@ -26,6 +25,7 @@
 use playhouse::foyer::pool::{Failed, Pool};
 use playhouse::foyer::trip::{ATTEMPT_ID, Asked, Outcome, Trip};
 use playhouse::house::Clock;
+use registry::InstanceId;
 use types::{MS, Micros, SECOND};
 
 /// No wait is so long unless something is wrong.
--- a/crates/cast/tests/earlier_life.rs
+++ b/crates/registry/tests/earlier_life.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use cast::{BUCKETS, Beat, Cast, Effect, Event, InstanceId, Key, Message, State, Timing};
+use registry::{BUCKETS, Beat, Cast, Effect, Event, InstanceId, Key, Message, State, Timing};
 use types::{Ask, MS, Micros, Place, SECOND};
 
 fn place(node: u8) -> Place {
--- a/crates/cast/tests/views.rs
+++ b/crates/registry/tests/views.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code)]
 mod world;
 
-use cast::{InstanceId, State};
+use registry::{InstanceId, State};
 use types::{Micros, SECOND};
 use world::World;
 
--- a/crates/cast/tests/world/mod.rs
+++ b/crates/registry/tests/world/mod.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use cast::{Beat, Cast, Effect, Event, InstanceId, Message, Record, State, Timing};
 use oorandom::Rand32;
+use registry::{Beat, Cast, Effect, Event, InstanceId, Message, Record, State, Timing};
 use types::{Ask, MS, Micros, Place, SECOND};
 
 pub const BEAT: Micros = 1_500 * MS;
--- a/crates/rehearsal/src/plant.rs
+++ b/crates/rehearsal/src/plant.rs
@@ -1,9 +1,9 @@
 //! Planted faults: bugs that a driver, a disk or an operator of machines could have. The world itself misbehaves;
 //! the rooms are as they are. Each must be found by the rules.
 
-use cast::{Message, State};
 use consensus::{Members, Message as Book, Saved, What, Word as Said, Write};
 use playhouse::house::{Word, opened};
+use registry::{Message, State};
 use serde::{Deserialize, Serialize};
 use types::{Index, Seat};
 
--- a/crates/rehearsal/src/world/instances.rs
+++ b/crates/rehearsal/src/world/instances.rs
@@ -4,8 +4,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 
-use cast::{Beat, InstanceId};
 use garnetdoor::host::{Ending, TicketId, TripNo};
+use registry::{Beat, InstanceId};
 use types::{MS, Micros, Place, SECOND};
 
 use super::operators::{Call, Caller, Reply, Who};
--- a/crates/rehearsal/src/world/operators.rs
+++ b/crates/rehearsal/src/world/operators.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use bill::Bill;
-use cast::{Beat, InstanceId};
 use control_state::{Command, State};
+use registry::{Beat, InstanceId};
 use simd_json::OwnedValue;
 use types::{MS, Micros, Place, SECOND, Version};
 
--- a/crates/understudy/src/targets/calls.rs
+++ b/crates/understudy/src/targets/calls.rs
@@ -1,10 +1,10 @@
 //! What control is called with: bodies of beats and orders, and heads.
 
 use bill::Order;
-use cast::{Beat, InstanceId};
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method};
 use playhouse::calls::{self, Call, Wrong};
+use registry::{Beat, InstanceId};
 use simd_json::json;
 use simd_json::prelude::*;
 
--- a/crates/understudy/src/targets/disk.rs
+++ b/crates/understudy/src/targets/disk.rs
@@ -428,8 +428,8 @@
     fn seeds(&self) -> Vec<Vec<u8>> {
         let mut some = house(1);
         for number in 0..3u8 {
-            let beat = cast::Beat {
-                id: cast::InstanceId(format!("i{number}")),
+            let beat = registry::Beat {
+                id: registry::InstanceId(format!("i{number}")),
                 service: "s".into(),
                 address: format!("10.0.1.{number}:80").parse().expect("an address"),
                 zone: "z".into(),
--- a/crates/understudy/src/targets/words.rs
+++ b/crates/understudy/src/targets/words.rs
@@ -2,13 +2,13 @@
 
 use std::net::Ipv4Addr;
 
-use cast::{Beat, InstanceId};
 use consensus::{Members, Saved};
 use control_state::{Command, Tally, Voice, Vote};
 use membership::{Member, Part};
 use playhouse::control::{Control, In, Out};
 use playhouse::house::{House, Letter, Word, opened};
 use playhouse::settings::Spans;
+use registry::{Beat, InstanceId};
 use types::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
 
 use super::BILL;
