--- a/crates/playhouse/src/commands/ledger.rs
+++ b/crates/playhouse/src/commands/ledger.rs
@@ -5,11 +5,11 @@
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 
-use ::ledger::{Ledger, LedgerError, Opened};
 use consensus::{Members, Snapshot, What, Write, WriteNo};
 use control_state::{Command, Outcome, Script};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
+use storage::{Ledger, LedgerError, Opened};
 use types::{Index, Life, Place, Seat, Term};
 use wings::DiskStore;
 
--- a/crates/playhouse/src/ring.rs
+++ b/crates/playhouse/src/ring.rs
@@ -34,7 +34,7 @@
     "control_state",
     "bill",
     "purse",
-    "ledger",
+    "storage",
     "wings",
     "garnetdoor",
 ];
--- a/crates/playhouse/tests/cut.rs
+++ b/crates/playhouse/tests/cut.rs
@@ -7,13 +7,13 @@
 
 use consensus::{Members, Write};
 use control_state::{Command, Outcome};
-use ledger::Ledger;
 use membership::{Member, Part};
 use playhouse::control::{self, Control, Told};
 use playhouse::floor::{self, Floor};
 use playhouse::house::House;
 use playhouse::settings::{Settings, Spans};
 use registry::{Beat, InstanceId};
+use storage::Ledger;
 use types::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
 use wings::MemoryStore;
 
--- a/crates/playhouse/tests/forms.rs
+++ b/crates/playhouse/tests/forms.rs
@@ -8,13 +8,13 @@
 
 use consensus::{Entry, Members, What, Write, WriteNo};
 use control_state::{Command, Outcome, Script, Stamp};
-use ledger::Ledger;
 use membership::{Member, Part};
 use playhouse::control::{self, Control, Told};
 use playhouse::floor::{self, Floor};
 use playhouse::house::{House, Word};
 use playhouse::settings::{Settings, Spans};
 use simd_json::prelude::*;
+use storage::Ledger;
 use types::{
     Ask, Carrier, Edition, Form, Forms, Index, Life, MS, Micros, Place, Program, SECOND, Seat, Term, Version,
 };
--- a/crates/rehearsal/src/world/prompter.rs
+++ b/crates/rehearsal/src/world/prompter.rs
@@ -5,9 +5,9 @@
 
 use consensus::{Members, Saved, Write};
 use control_state::{Command, Outcome};
-use ledger::Ledger;
 use playhouse::control::{Control, In, Out, Told};
 use playhouse::house::Word;
+use storage::Ledger;
 use types::{Ask, Life, Micros, Place, Seat};
 use wings::MemoryStore;
 
--- a/crates/ledger/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 
 use consensus::{Entry, Members, Saved, Snapshot, What, Write, WriteNo};
-use ledger::{Batch, Ledger, LedgerError, Opened, Pairs, Step, Store, StoreError};
+use storage::{Batch, Ledger, LedgerError, Opened, Pairs, Step, Store, StoreError};
 use types::{Index, Life, Place, Seat, Term};
 
 type Contents = BTreeMap<Vec<u8>, Vec<u8>>;
--- a/crates/understudy/src/targets/disk.rs
+++ b/crates/understudy/src/targets/disk.rs
@@ -6,12 +6,12 @@
 
 use consensus::{Entry, Members, Promptbook, Snapshot, What, Write, WriteNo};
 use control_state::{Command, Script};
-use ledger::{Batch, Ledger, LedgerError, Pairs, Step, Store, StoreError, note};
 use membership::{Member, Part};
 use playhouse::house::House;
 use playhouse::settings::Spans;
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
+use storage::{Batch, Ledger, LedgerError, Pairs, Step, Store, StoreError, note};
 use types::{Index, Life, Place, Seat, Term};
 use wings::{DiskStore, Folder};
 
--- a/crates/wings/src/disk.rs
+++ b/crates/wings/src/disk.rs
@@ -9,9 +9,9 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
 
-use ledger::{Batch, Pairs, Step, Store, StoreError};
 use redb::backends::FileBackend;
 use redb::{Builder, Database, Durability, ReadableDatabase, StorageBackend, TableDefinition};
+use storage::{Batch, Pairs, Step, Store, StoreError};
 
 const NAME: &str = "ledger.redb";
 /// The file while it is made; worth nothing under this name.
--- a/crates/wings/src/hand.rs
+++ b/crates/wings/src/hand.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use consensus::{Write, WriteNo};
-use ledger::{Ledger, LedgerError, Store};
+use storage::{Ledger, LedgerError, Store};
 use tokio::sync::mpsc;
 
 /// Most writes that wait in the queue, and most that wait out a failing disk.
--- a/crates/wings/src/memory_store.rs
+++ b/crates/wings/src/memory_store.rs
@@ -5,7 +5,7 @@
 use std::ops::Bound;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use ledger::{Batch, Pairs, Step, Store, StoreError};
+use storage::{Batch, Pairs, Step, Store, StoreError};
 
 /// How the next puts fail.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/wings/src/note.rs
+++ b/crates/wings/src/note.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::thread::{self, JoinHandle};
 
-use ledger::note;
+use storage::note;
 
 const STACK_BYTES: usize = 128 << 10;
 
--- a/crates/wings/tests/contracts.rs
+++ b/crates/wings/tests/contracts.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{body, free_port, next, place, play};
-use ledger::{Batch, Store};
+use storage::{Batch, Store};
 use types::Carrier;
 use wings::{Arrived, DiskStore, Incoming, MemoryHall, MemoryStore, Post, PostLimits, Transport};
 
--- a/crates/wings/tests/power.rs
+++ b/crates/wings/tests/power.rs
@@ -5,8 +5,8 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use consensus::{Entry, Members, Saved, Snapshot, What, Write, WriteNo};
-use ledger::{Batch, Ledger, Store, StoreError};
 use redb::StorageBackend;
+use storage::{Batch, Ledger, Store, StoreError};
 use types::{Index, Life, Term};
 use wings::{DiskStore, Folder};
 
--- a/crates/wings/tests/trouble.rs
+++ b/crates/wings/tests/trouble.rs
@@ -6,7 +6,7 @@
 
 use common::{LONG, body, free_port, next, place, play};
 use consensus::{Entry, What, Write, WriteNo};
-use ledger::{Ledger, StoreError};
+use storage::{Ledger, StoreError};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
