--- a/crates/purse/tests/purse.rs
+++ b/crates/budgets/tests/purse.rs
@@ -1,7 +1,7 @@
 //! The sum over foyers, judged as the rule is written, whatever happens to them.
 
+use budgets::Purse;
 use oorandom::Rand32;
-use purse::Purse;
 use types::{MS, Micros, SECOND};
 
 const RATIO: f64 = 0.2;
--- a/crates/playhouse/src/floor/desk.rs
+++ b/crates/playhouse/src/floor/desk.rs
@@ -8,6 +8,7 @@
 use std::sync::Arc;
 
 use bill::{Bill, Kind};
+use budgets::Purse;
 use control_state::{Rollout, Tally, Voice};
 use garnetdoor::balance::Balance;
 use garnetdoor::host::{
@@ -16,7 +17,6 @@
 };
 use indexmap::IndexMap;
 use load::{Bounds, Fleet, Profiles, Share, VOTE_LIFE};
-use purse::Purse;
 use registry::{InstanceId, State};
 use types::Micros;
 
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -18,10 +18,10 @@
 
 use crate::house::{Happened, House, Letter, Word};
 use crate::settings::{Settings, micros};
+use budgets::{Party, Purse};
 use control_state::Outcome;
 use desk::{Desk, Do, Seen};
 use load::{Bounds, Fleet, Share};
-use purse::{Party, Purse};
 
 const VOTES_EVERY: Micros = SECOND;
 /// A foyer that knows instances of some services opens after this without the others: two beats are under it.
--- a/crates/playhouse/src/ring.rs
+++ b/crates/playhouse/src/ring.rs
@@ -33,7 +33,7 @@
     "registry",
     "control_state",
     "bill",
-    "purse",
+    "budgets",
     "storage",
     "wings",
     "garnetdoor",
