--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -13,9 +13,9 @@
 
 use std::sync::Arc;
 
-use bill::{Bill, Faults};
 use clock::Clock;
 pub use clock::Stamp;
+use configuration::{Bill, Faults};
 pub use count::{Count, CountSettings, Tally, Voice, Vote, Votes};
 use earlier::Earlier;
 use indexmap::IndexMap;
@@ -32,7 +32,7 @@
 /// The longest name of a service or version in a command, in bytes.
 pub const MAX_NAME: usize = 256;
 /// A command's own fields beside its text, in bytes, generously.
-const MAX_COMMAND: usize = bill::MAX_BYTES + 1024;
+const MAX_COMMAND: usize = configuration::MAX_BYTES + 1024;
 
 /// One change of control, as it stands in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/control-state/src/outcome.rs
+++ b/crates/control-state/src/outcome.rs
@@ -1,6 +1,6 @@
 //! Outcome (of a command): a value, the same at every node, with the status that its caller is answered.
 
-use bill::Faults;
+use configuration::Faults;
 use types::{Form, Version};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/control-state/src/snapshot.rs
+++ b/crates/control-state/src/snapshot.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bill::Bill;
+use configuration::Bill;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 use types::{Form, Index, Micros};
--- a/crates/control-state/tests/repeats.rs
+++ b/crates/control-state/tests/repeats.rs
@@ -2,7 +2,7 @@
 
 mod shared;
 
-use bill::Version;
+use configuration::Version;
 use control_state::{Command, Outcome, Script, Stamp, State};
 use shared::{modify, oorandom, order, replace, seen};
 use types::{Form, Index, MS, Micros, SECOND};
--- a/crates/control-state/tests/script.rs
+++ b/crates/control-state/tests/script.rs
@@ -2,7 +2,7 @@
 
 mod shared;
 
-use bill::Version;
+use configuration::Version;
 use control_state::{Broken, Command, Outcome, Rollout, Script, State};
 use shared::{modify, oorandom, order, replace, seen};
 use types::{Index, SECOND};
--- a/crates/control-state/tests/shared/mod.rs
+++ b/crates/control-state/tests/shared/mod.rs
@@ -1,7 +1,7 @@
 //! Commands as tests write them, and chance.
 #![allow(dead_code, reason = "each test file uses some of these")]
 
-use bill::Version;
+use configuration::Version;
 use control_state::Command;
 use types::SECOND;
 
--- a/crates/extras/src/world/node.rs
+++ b/crates/extras/src/world/node.rs
@@ -203,7 +203,7 @@
     }
 
     pub fn came(&mut self, now: Micros, ticket: TicketId, service: &str, route: &str) -> Vec<Did> {
-        let kind = bill::Kind::Safe;
+        let kind = configuration::Kind::Safe;
         let left = 1_500_000;
         self.gateway(now, floor::In::Came { ticket, service, route, kind, left })
     }
--- a/crates/intent/examples/fleet/world.rs
+++ b/crates/intent/examples/fleet/world.rs
@@ -7,7 +7,7 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-use bill::{Bill, Route};
+use configuration::{Bill, Route};
 use intent::judge::{self, Member};
 use intent::remedy::{self, Stage};
 use intent::{
--- a/crates/intent/src/parts.rs
+++ b/crates/intent/src/parts.rs
@@ -2,7 +2,7 @@
 //! over its routes, so that two intents compare part by part and range by range. What a request's handling
 //! shows of an intent is an `Act`, and `Row::chance` tells how likely it is under one.
 
-use bill::{Bill, Kind, Route};
+use configuration::{Bill, Kind, Route};
 use control_state::Rollout;
 use serde::{Deserialize, Serialize};
 use types::Index;
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -5,7 +5,7 @@
 mod share;
 mod trial;
 
-use bill::{Bill, Kind};
+use configuration::{Bill, Kind};
 use garnetdoor::host::{Micros, Settings};
 use indexmap::IndexMap;
 use types::{MS, SECOND};
--- a/crates/playhouse/src/calls.rs
+++ b/crates/playhouse/src/calls.rs
@@ -87,8 +87,8 @@
 /// Values are built and dropped by recursion: a body of a few thousand brackets would end the stack, and with
 /// it the process.
 fn read(body: &[u8]) -> Result<OwnedValue, Wrong> {
-    if bill::too_deep(body) {
-        return bad(format!("body: nested at most {} deep expected", bill::MAX_DEPTH));
+    if configuration::too_deep(body) {
+        return bad(format!("body: nested at most {} deep expected", configuration::MAX_DEPTH));
     }
     let mut bytes = body.to_vec();
     simd_json::to_owned_value(&mut bytes).or_else(|error| bad(format!("body: {error}")))
--- a/crates/playhouse/src/commands/check.rs
+++ b/crates/playhouse/src/commands/check.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use bill::Bill;
+use configuration::Bill;
 use membership::Part;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
--- a/crates/playhouse/src/commands/config.rs
+++ b/crates/playhouse/src/commands/config.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use bill::Bill;
+use configuration::Bill;
 use hyper::{Method, StatusCode};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
@@ -42,7 +42,7 @@
 }
 
 fn version(text: &str) -> Result<Version, String> {
-    bill::base_version(text).ok_or_else(|| "one to eight hexadecimal digits expected".to_owned())
+    configuration::base_version(text).ok_or_else(|| "one to eight hexadecimal digits expected".to_owned())
 }
 
 impl Config {
@@ -78,7 +78,7 @@
 
 /// The whole that a file would make, checked here.
 fn meant(path: &Path, bytes: &[u8], now: Option<&[u8]>) -> Result<Vec<u8>, Failed> {
-    let bad = |faults: bill::Faults| Failed::Wrong(format!("{}: {faults}", path.display()));
+    let bad = |faults: configuration::Faults| Failed::Wrong(format!("{}: {faults}", path.display()));
     if is_whole(path, bytes)? {
         return Bill::read(bytes).map(|bill| bill.text()).map_err(bad);
     }
--- a/crates/playhouse/src/floor/desk.rs
+++ b/crates/playhouse/src/floor/desk.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use bill::{Bill, Kind};
 use budgets::Purse;
+use configuration::{Bill, Kind};
 use control_state::{Rollout, Tally, Voice};
 use garnetdoor::balance::Balance;
 use garnetdoor::host::{
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use bill::{Bill, Kind};
+use configuration::{Bill, Kind};
 use garnetdoor::host::{Arrival, Ending, ServerId, Taken, TicketId, TripNo, Vote, Wake};
 use indexmap::IndexMap;
 use intent::{Intent, Usher, usher, ward};
--- a/crates/playhouse/src/foyer/front.rs
+++ b/crates/playhouse/src/foyer/front.rs
@@ -312,7 +312,7 @@
 }
 
 /// One of the route's services, by weight.
-fn pick(route: &bill::Route) -> Option<&str> {
+fn pick(route: &configuration::Route) -> Option<&str> {
     if let [only] = route.targets.as_slice() {
         return Some(&only.service);
     }
--- a/crates/playhouse/src/foyer/mod.rs
+++ b/crates/playhouse/src/foyer/mod.rs
@@ -219,7 +219,7 @@
 
     /// A request whose head, and as much of its body as is kept, has been read.
     fn came(
-        &mut self, shared: &Shared, service: &str, route: &bill::Route, asked: Asked, until: Micros,
+        &mut self, shared: &Shared, service: &str, route: &configuration::Route, asked: Asked, until: Micros,
     ) -> (TicketId, oneshot::Receiver<Reply>) {
         self.next_ticket += 1;
         let ticket = TicketId(self.next_ticket);
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -319,7 +319,7 @@
 
 /// One fault of what was sent, as all faults are told.
 fn faults(place: &str, text: &str) -> Answer {
-    reply(StatusCode::BAD_REQUEST, bill::Faults::one(place, text).to_json())
+    reply(StatusCode::BAD_REQUEST, configuration::Faults::one(place, text).to_json())
 }
 
 fn unavailable(text: &str) -> Answer {
--- a/crates/playhouse/src/ring.rs
+++ b/crates/playhouse/src/ring.rs
@@ -32,7 +32,7 @@
     "membership",
     "registry",
     "control_state",
-    "bill",
+    "configuration",
     "budgets",
     "storage",
     "wings",
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bill::Kind;
+use configuration::Kind;
 use types::{MS, Micros, SECOND};
 
 use crate::seen::{Answer, Seen, What};
--- a/crates/rehearsal/src/seen.rs
+++ b/crates/rehearsal/src/seen.rs
@@ -1,7 +1,7 @@
 //! Seen (observations): what clients, instances and operators saw, and which troubles there were. Rules are
 //! checked on this alone, so that a recorded or hand-made run can be judged too.
 
-use bill::Kind;
+use configuration::Kind;
 use types::Micros;
 
 /// A machine's number in the world.
--- a/crates/rehearsal/src/site.rs
+++ b/crates/rehearsal/src/site.rs
@@ -1,7 +1,7 @@
 //! Site (the deployment): where machines stand, the rules' bounds, services and routes. What a scenario leaves out
 //! is as on the small sites.
 
-use bill::Kind;
+use configuration::Kind;
 use serde::{Deserialize, Serialize};
 use types::{MS, Micros};
 
--- a/crates/rehearsal/src/texts.rs
+++ b/crates/rehearsal/src/texts.rs
@@ -1,6 +1,6 @@
 //! Texts (the operators' configurations): valid ones, changes, and every kind of invalid one.
 
-use bill::Kind;
+use configuration::Kind;
 use oorandom::Rand64;
 
 use crate::site::Site;
--- a/crates/rehearsal/src/world/foyer.rs
+++ b/crates/rehearsal/src/world/foyer.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-use bill::Kind;
+use configuration::Kind;
 use garnetdoor::host::{Ending, TicketId, TripNo};
 use playhouse::floor::desk::Seen as Target;
 use playhouse::floor::{Floor, In, Out};
--- a/crates/rehearsal/src/world/guests.rs
+++ b/crates/rehearsal/src/world/guests.rs
@@ -1,6 +1,6 @@
 //! Guests (clients): they ask, wait, give up, and repeat as they may.
 
-use bill::Kind;
+use configuration::Kind;
 use garnetdoor::host::TicketId;
 use types::{MS, Micros, SECOND};
 
--- a/crates/rehearsal/src/world/operators.rs
+++ b/crates/rehearsal/src/world/operators.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use bill::Bill;
+use configuration::Bill;
 use control_state::{Command, State};
 use registry::{Beat, InstanceId};
 use simd_json::OwnedValue;
--- a/crates/rehearsal/tests/rules.rs
+++ b/crates/rehearsal/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Each rule's checker, on a recorded run that breaks it and on the same run without the breach.
 
-use bill::Kind;
+use configuration::Kind;
 use rehearsal::rules::{ALL, Rule, Terms, check};
 use rehearsal::seen::{Answer, Seen, What};
 use types::{MS, Micros, SECOND};
--- a/crates/understudy/src/targets/mod.rs
+++ b/crates/understudy/src/targets/mod.rs
@@ -91,7 +91,7 @@
     "ServiceTable",
 ];
 
-fn mark_faults(signature: &mut Signature, faults: &bill::Faults) {
+fn mark_faults(signature: &mut Signature, faults: &configuration::Faults) {
     signature.bucket("faults", (faults.list.len() + faults.more) as u64);
     for fault in &faults.list {
         let pieces = fault.place.split(|byte: char| !byte.is_ascii_alphanumeric());
--- a/crates/understudy/src/targets/texts.rs
+++ b/crates/understudy/src/targets/texts.rs
@@ -1,6 +1,6 @@
 //! What operators and machines write: configurations, changes of them, settings; and rehearsals' scenarios.
 
-use bill::Bill;
+use configuration::Bill;
 use membership::Part;
 use playhouse::settings::{Settings, micros};
 use rehearsal::scenario::Scenario;
