--- a/crates/extras/src/sockets/part.rs
+++ b/crates/extras/src/sockets/part.rs
@@ -14,8 +14,8 @@
 use playhouse::settings::Settings;
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
+use transport::{Arrived, Incoming, Post, PostLimits};
 use types::{Ask, Micros, Place, Version};
-use wings::{Arrived, Incoming, Post, PostLimits};
 
 use super::{Plan, Told, wall};
 use crate::size::ZONES;
--- a/crates/playhouse/src/commands/ledger.rs
+++ b/crates/playhouse/src/commands/ledger.rs
@@ -10,8 +10,8 @@
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use storage::{Ledger, LedgerError, Opened};
+use transport::DiskStore;
 use types::{Index, Life, Place, Seat, Term};
-use wings::DiskStore;
 
 use super::view::rollout_state;
 use super::{Done, Failed, print, print_json};
--- a/crates/playhouse/src/foyer/mod.rs
+++ b/crates/playhouse/src/foyer/mod.rs
@@ -24,8 +24,8 @@
 use hyper::Response;
 use membership::Part;
 use tokio::sync::oneshot;
+use transport::{Arrived, Post};
 use types::{Life, MS, Micros, Place, SECOND};
-use wings::{Arrived, Post};
 
 use crate::floor::desk::Seen;
 use crate::floor::{Floor, In, Out};
@@ -89,7 +89,7 @@
     let frontend = settings.listen_addresses.frontend.ok_or("ListenAddresses.Frontend is missing")?;
     let readiness = settings.listen_addresses.readiness.ok_or("ListenAddresses.Readiness is missing")?;
     let (post, mut mail) =
-        Post::bind(settings.ip_address, settings.internal_port(), wings::PostLimits::default())?;
+        Post::bind(settings.ip_address, settings.internal_port(), transport::PostLimits::default())?;
     let now = clock.now();
     let member = settings.member(Part::Foyer, Life(chance()));
     let house = House::start(member, settings.seeds(), micros(settings.heartbeat_s), chance(), now);
--- a/crates/playhouse/src/metrics.rs
+++ b/crates/playhouse/src/metrics.rs
@@ -16,7 +16,7 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
-use wings::PostStats;
+use transport::PostStats;
 
 use crate::house::House;
 
--- a/crates/playhouse/src/post.rs
+++ b/crates/playhouse/src/post.rs
@@ -1,7 +1,7 @@
 //! Words to bytes on their way out.
 
+use transport::Post;
 use types::{Carrier, Place};
-use wings::Post;
 
 use crate::house::Letter;
 
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -18,8 +18,8 @@
 use simd_json::prelude::*;
 use storage::{Ledger, LedgerError, Opened, StoreError};
 use tokio::sync::oneshot;
+use transport::{Arrived, DiskHand, DiskStore, NoteHand, Post};
 use types::{Ask, Life, Micros, Place, SECOND, Seat};
-use wings::{Arrived, DiskHand, DiskStore, NoteHand, Post};
 
 use crate::calls::{self, Call, Wrong};
 use crate::commands::view::{Disk, view};
@@ -88,7 +88,7 @@
     let unused = opened.life == FIRST_LIFE && opened.saved == Saved::default();
     let first = (first && unused).then(|| Members(voters().collect()));
     let (post, mut mail) =
-        Post::bind(settings.ip_address, settings.internal_port(), wings::PostLimits::default())?;
+        Post::bind(settings.ip_address, settings.internal_port(), transport::PostLimits::default())?;
     let now = clock.now();
     // Among the nodes it is the process that lives: one that has left in order is never heard again, and this
     // one may come back with the same disk.
--- a/crates/playhouse/src/ring.rs
+++ b/crates/playhouse/src/ring.rs
@@ -35,7 +35,7 @@
     "configuration",
     "budgets",
     "storage",
-    "wings",
+    "wings", // Prefix of the log targets of the package `transport`.
     "garnetdoor",
 ];
 
--- a/crates/playhouse/tests/cut.rs
+++ b/crates/playhouse/tests/cut.rs
@@ -14,8 +14,8 @@
 use playhouse::settings::{Settings, Spans};
 use registry::{Beat, InstanceId};
 use storage::Ledger;
+use transport::MemoryStore;
 use types::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
-use wings::MemoryStore;
 
 /// Programs that know of proofs.
 const EDITION: Edition =
--- a/crates/playhouse/tests/forms.rs
+++ b/crates/playhouse/tests/forms.rs
@@ -15,10 +15,10 @@
 use playhouse::settings::{Settings, Spans};
 use simd_json::prelude::*;
 use storage::Ledger;
+use transport::{DiskStore, MemoryStore};
 use types::{
     Ask, Carrier, Edition, Form, Forms, Index, Life, MS, Micros, Place, Program, SECOND, Seat, Term, Version,
 };
-use wings::{DiskStore, MemoryStore};
 
 /// What 0.5.0 reads.
 const BEFORE: Forms = Forms { oldest: Form(1), newest: Form(1) };
--- a/crates/playhouse/tests/metrics.rs
+++ b/crates/playhouse/tests/metrics.rs
@@ -6,8 +6,8 @@
 use playhouse::house::{House, Word};
 use playhouse::metrics::Metrics;
 use replication::{Message, Piece};
+use transport::PostStats;
 use types::{Carrier, Edition, Index, Life, MS, Place, SECOND};
-use wings::PostStats;
 
 fn place(node: u8) -> Place {
     Place(Ipv4Addr::new(10, 0, 0, node))
--- a/crates/rehearsal/src/world/machine.rs
+++ b/crates/rehearsal/src/world/machine.rs
@@ -8,8 +8,8 @@
 use membership::{Member, Part};
 use playhouse::house::House;
 use playhouse::settings::{Settings, micros};
+use transport::{Fault, MemoryStore};
 use types::{Carrier, Life, MS, Micros, Place, SECOND};
-use wings::{Fault, MemoryStore};
 
 use super::foyer::FoyerProc;
 use super::prompter::PrompterProc;
--- a/crates/rehearsal/src/world/prompter.rs
+++ b/crates/rehearsal/src/world/prompter.rs
@@ -8,8 +8,8 @@
 use playhouse::control::{Control, In, Out, Told};
 use playhouse::house::Word;
 use storage::Ledger;
+use transport::MemoryStore;
 use types::{Ask, Life, Micros, Place, Seat};
-use wings::MemoryStore;
 
 use super::machine::Process;
 use super::operators::{Call, Caller, Reply};
--- a/crates/wings/src/hand.rs
+++ b/crates/transport/src/hand.rs
@@ -12,6 +12,9 @@
 use storage::{Ledger, LedgerError, Store};
 use tokio::sync::mpsc;
 
+/// Operators filter log lines by this name, which is older than the package's.
+const LOG_TARGET: &str = "wings::hand";
+
 /// Most writes that wait in the queue, and most that wait out a failing disk.
 const WAITING: usize = 1_024;
 /// Most writes in one batch.
@@ -132,9 +135,9 @@
                     self.answer(batch, true);
                     return true;
                 }
-                Err(error @ LedgerError::Store(_)) => log::warn!("disk: {error}"),
+                Err(error @ LedgerError::Store(_)) => log::warn!(target: LOG_TARGET, "disk: {error}"),
                 Err(error) => {
-                    log::error!("write that does not fit the ledger: {error}");
+                    log::error!(target: LOG_TARGET, "write that does not fit the ledger: {error}");
                     self.misfit.store(true, Ordering::Relaxed);
                     self.answer(&batch[told..], false);
                     return false;
--- a/crates/wings/src/incoming.rs
+++ b/crates/transport/src/incoming.rs
@@ -16,6 +16,9 @@
 use crate::post::PostLimits;
 use crate::stats::Counters;
 
+/// Operators filter log lines by this name, which is older than the package's.
+const LOG_TARGET: &str = "wings::incoming";
+
 pub type Arrivals = mpsc::Sender<Arrived>;
 
 /// After an error of a listening socket, such as a lack of descriptors.
@@ -39,14 +42,14 @@
                     Ok(()) => {}
                     Err(mpsc::error::TrySendError::Full(_)) => {
                         counters.count(|stats| stats.datagrams_dropped += 1);
-                        log::debug!("datagram dropped: queue is full");
+                        log::debug!(target: LOG_TARGET, "datagram dropped: queue is full");
                     }
                     Err(mpsc::error::TrySendError::Closed(_)) => return,
                 }
             }
             Ok(_) => {}
             Err(error) => {
-                log::warn!("datagrams: {error}");
+                log::warn!(target: LOG_TARGET, "datagrams: {error}");
                 sleep(REST).await;
             }
         }
@@ -81,7 +84,7 @@
                 }
                 Ok(_) => {}
                 Err(error) => {
-                    log::warn!("streams: {error}");
+                    log::warn!(target: LOG_TARGET, "streams: {error}");
                     sleep(REST).await;
                 }
             }
@@ -101,7 +104,7 @@
         let Ok(Ok(length)) = timeout(limits.idle * 2, stream.read_u32()).await else { return };
         let length = length as usize;
         if length > limits.message {
-            log::warn!("stream from {from} closed: message of {length} bytes");
+            log::warn!(target: LOG_TARGET, "stream from {from} closed: message of {length} bytes");
             return;
         }
         let permits = length.min(limits.reading) as u32;
--- a/crates/wings/src/note.rs
+++ b/crates/transport/src/note.rs
@@ -9,6 +9,9 @@
 
 use storage::note;
 
+/// Operators filter log lines by this name, which is older than the package's.
+const LOG_TARGET: &str = "wings::note";
+
 const STACK_BYTES: usize = 128 << 10;
 
 #[derive(Default)]
@@ -28,12 +31,12 @@
         let path = dir.join(name);
         let kept = match fs::read(&path) {
             Ok(value) => note::open(&value).map(<[u8]>::to_vec).or_else(|| {
-                log::warn!("{} is damaged, and dropped", path.display());
+                log::warn!(target: LOG_TARGET, "{} is damaged, and dropped", path.display());
                 None
             }),
             Err(error) if error.kind() == ErrorKind::NotFound => None,
             Err(error) => {
-                log::warn!("{}: {error}", path.display());
+                log::warn!(target: LOG_TARGET, "{}: {error}", path.display());
                 None
             }
         };
@@ -82,7 +85,7 @@
         };
         drop(held);
         if let Err(error) = write(dir, path, &note::seal(&bytes)) {
-            log::debug!("{} is not kept: {error}", path.display());
+            log::debug!(target: LOG_TARGET, "{} is not kept: {error}", path.display());
         }
     }
 }
--- a/crates/wings/src/outgoing.rs
+++ b/crates/transport/src/outgoing.rs
@@ -15,6 +15,9 @@
 
 use crate::post::PostLimits;
 
+/// Operators filter log lines by this name, which is older than the package's.
+const LOG_TARGET: &str = "wings::outgoing";
+
 /// What waits for one peer, each with its length before it.
 #[derive(Default)]
 struct Queue {
@@ -48,7 +51,7 @@
         // A task that has ended leaves nothing in its queue.
         peers.retain(|_, peer| !peer.task.is_finished());
         if !peers.contains_key(&to) && peers.len() >= self.limits.peers {
-            log::warn!("message to {to} dropped: too many peers");
+            log::warn!(target: LOG_TARGET, "message to {to} dropped: too many peers");
             return;
         }
         let peer = peers.entry(to).or_insert_with(|| self.start(to));
@@ -132,7 +135,7 @@
             let stream = match self.connect().await {
                 Ok(stream) => stream,
                 Err(error) => {
-                    log::debug!("stream to {}: {error}", self.to);
+                    log::debug!(target: LOG_TARGET, "stream to {}: {error}", self.to);
                     break;
                 }
             };
--- a/crates/wings/src/post.rs
+++ b/crates/transport/src/post.rs
@@ -16,6 +16,9 @@
 use crate::stats::{Counters, PostStats};
 use crate::{Incoming, Transport};
 
+/// Operators filter log lines by this name, which is older than the package's.
+const LOG_TARGET: &str = "wings::post";
+
 /// Bounds of a post; sizes in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PostLimits {
@@ -77,7 +80,7 @@
     /// Binds `port` at this machine's address for datagrams and streams. To be called within a `LocalSet`.
     pub fn bind(own: Ipv4Addr, port: u16, limits: PostLimits) -> io::Result<(Self, Incoming)> {
         let at = SocketAddrV4::new(own, port);
-        let waits = |error: &io::Error| log::warn!("{error}; tried again");
+        let waits = |error: &io::Error| log::warn!(target: LOG_TARGET, "{error}; tried again");
         let socket = garnetdoor_bind::when_free(at, || std::net::UdpSocket::bind(at), waits)?;
         socket.set_nonblocking(true)?;
         let socket = Rc::new(UdpSocket::from_std(socket)?);
@@ -110,7 +113,7 @@
                 Ok(_) => inner.counters.count(|stats| stats.datagrams_sent += 1),
                 Err(error) => {
                     inner.counters.count(|stats| stats.datagrams_refused += 1);
-                    log::debug!("datagram to {to} dropped: {error}");
+                    log::debug!(target: LOG_TARGET, "datagram to {to} dropped: {error}");
                 }
             }
         } else {
@@ -122,7 +125,7 @@
     pub fn send_by_stream(&self, to: Ipv4Addr, bytes: Vec<u8>) {
         let inner = &*self.0;
         if bytes.len() > inner.limits.message {
-            return log::warn!("message of {} bytes to {to} is over the limit", bytes.len());
+            return log::warn!(target: LOG_TARGET, "message of {} bytes to {to} is over the limit", bytes.len());
         }
         inner.counters.count(|stats| stats.stream_messages_sent += 1);
         inner.outgoing.send(to, &bytes);
--- a/crates/wings/tests/common/mod.rs
+++ b/crates/transport/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 use tokio::task::LocalSet;
 use tokio::time::timeout;
-use wings::Incoming;
+use transport::Incoming;
 
 /// Until a test gives up; nothing waits so long when all is well.
 pub const LONG: Duration = Duration::from_secs(10);
--- a/crates/wings/tests/contracts.rs
+++ b/crates/transport/tests/contracts.rs
@@ -4,8 +4,8 @@
 
 use common::{body, free_port, next, place, play};
 use storage::{Batch, Store};
+use transport::{Arrived, DiskStore, Incoming, MemoryHall, MemoryStore, Post, PostLimits, Transport};
 use types::Carrier;
-use wings::{Arrived, DiskStore, Incoming, MemoryHall, MemoryStore, Post, PostLimits, Transport};
 
 /// Short and long messages come whole, from the place that sent them, both ways; words to a place where
 /// nobody is, and words over every limit, harm nobody.
--- a/crates/wings/tests/note.rs
+++ b/crates/transport/tests/note.rs
@@ -1,6 +1,6 @@
 //! The lazy file: the newest value comes back; a damaged one does not.
 
-use wings::NoteHand;
+use transport::NoteHand;
 
 #[test]
 fn the_newest_note_comes_back_and_a_damaged_one_is_dropped() {
--- a/crates/wings/tests/power.rs
+++ b/crates/transport/tests/power.rs
@@ -7,8 +7,8 @@
 use consensus::{Entry, Members, Saved, Snapshot, What, Write, WriteNo};
 use redb::StorageBackend;
 use storage::{Batch, Ledger, Store, StoreError};
+use transport::{DiskStore, Folder};
 use types::{Index, Life, Term};
-use wings::{DiskStore, Folder};
 
 #[derive(Clone, Debug)]
 enum Change {
--- a/crates/wings/tests/trouble.rs
+++ b/crates/transport/tests/trouble.rs
@@ -10,10 +10,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
-use types::{Index, Life, Term};
-use wings::{
+use transport::{
     Arrived, DiskHand, DiskStore, Done, Fault, MemoryHall, MemoryStore, Post, PostLimits, Transport,
 };
+use types::{Index, Life, Term};
 
 const SHORT: Duration = Duration::from_millis(200);
 
--- a/crates/understudy/src/targets/disk.rs
+++ b/crates/understudy/src/targets/disk.rs
@@ -12,8 +12,8 @@
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
 use storage::{Batch, Ledger, LedgerError, Pairs, Step, Store, StoreError, note};
+use transport::{DiskStore, Folder};
 use types::{Index, Life, Place, Seat, Term};
-use wings::{DiskStore, Folder};
 
 use super::BILL;
 use crate::shapes::{frames, joined};
--- a/crates/understudy/src/targets/stream.rs
+++ b/crates/understudy/src/targets/stream.rs
@@ -5,7 +5,7 @@
 
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::{Semaphore, mpsc};
-use wings::PostLimits;
+use transport::PostLimits;
 
 use crate::{Cost, Shape, Signature, Target};
 
@@ -72,7 +72,7 @@
         let from = Ipv4Addr::new(10, 0, 0, 2);
         let reading = Arc::new(Semaphore::new(READING));
         let (arrived, mut incoming) = mpsc::channel(4);
-        let read = wings::frames(input, from, arrived, reading.clone(), limits);
+        let read = transport::frames(input, from, arrived, reading.clone(), limits);
         let taken = async {
             let mut taken = Vec::new();
             while let Some(arrived) = incoming.recv().await {
