--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -12,7 +12,7 @@
 pub use faults::{Fault, Faults, MAX_FAULTS};
 use indexmap::IndexMap;
 pub use json::too_deep;
-pub use types::{Micros, Version};
+pub use types::{ConfigVersion, Micros};
 
 /// The largest configuration or change that is read, in bytes. 310 routes take about 120 KB.
 pub const MAX_BYTES: usize = 8 << 20;
@@ -87,7 +87,7 @@
 /// A whole configuration that has passed every check.
 #[derive(Clone, Debug)]
 pub struct Bill {
-    pub version: Version,
+    pub version: ConfigVersion,
     pub routes: IndexMap<String, Route>,
     pub services: IndexMap<String, Service>,
     pub limits: Limits,
@@ -103,7 +103,7 @@
     }
 
     /// As `read`; a version that is not above `above` is a fault beside the others.
-    pub fn read_above(text: &[u8], above: Version) -> Result<Bill, Faults> {
+    pub fn read_above(text: &[u8], above: ConfigVersion) -> Result<Bill, Faults> {
         let value = json::parse(text)?;
         Bill::built(&value, Some(above), || text.to_vec())
     }
@@ -119,12 +119,12 @@
     /// What a change makes where there is no configuration yet: the items that it brings must make a whole.
     pub fn begun(text: &[u8]) -> Result<Bill, Faults> {
         let whole = change::merged(br#"{"ResourceSet":[]}"#, text)?;
-        Bill::of_whole(&whole, Version(0))
+        Bill::of_whole(&whole, ConfigVersion(0))
     }
 
     /// What a change makes may be longer than both texts that it is made of: a line's end is one escape there,
     /// and another here. What could not be read again, from a disk or by another node, is no configuration.
-    fn of_whole(whole: &simd_json::OwnedValue, above: Version) -> Result<Bill, Faults> {
+    fn of_whole(whole: &simd_json::OwnedValue, above: ConfigVersion) -> Result<Bill, Faults> {
         let bill = Bill::built(whole, Some(above), || json::written(whole))?;
         if bill.text.len() > MAX_BYTES {
             let expected = format!("a whole of at most {MAX_BYTES} bytes; there are {}", bill.text.len());
@@ -151,7 +151,7 @@
     }
 
     fn built(
-        value: &simd_json::OwnedValue, above: Option<Version>, text: impl FnOnce() -> Vec<u8>,
+        value: &simd_json::OwnedValue, above: Option<ConfigVersion>, text: impl FnOnce() -> Vec<u8>,
     ) -> Result<Bill, Faults> {
         let parts = read::parts(value, above)?;
         let finder = routes::Finder::new(parts.routes.values());
@@ -188,13 +188,13 @@
 }
 
 /// A version as bodies write it: exactly eight hexadecimal digits of either case.
-pub fn version(text: &str) -> Option<Version> {
+pub fn version(text: &str) -> Option<ConfigVersion> {
     if text.len() == 8 { base_version(text) } else { None }
 }
 
 /// A version as the header `Base-Version` may write it: one to eight hexadecimal digits, so that a plain `0`
 /// for the first is understood too.
-pub fn base_version(text: &str) -> Option<Version> {
+pub fn base_version(text: &str) -> Option<ConfigVersion> {
     let plain = (1..=8).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_hexdigit());
-    if plain { u32::from_str_radix(text, 16).ok().map(Version) } else { None }
+    if plain { u32::from_str_radix(text, 16).ok().map(ConfigVersion) } else { None }
 }
--- a/crates/configuration/src/read.rs
+++ b/crates/configuration/src/read.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
-use types::{Micros, SECOND, Version};
+use types::{ConfigVersion, Micros, SECOND};
 
 use crate::faults::{Faults, quoted};
 use crate::{Kind, Limits, Order, Route, Service, Target, routes};
@@ -25,7 +25,7 @@
 pub(crate) const LIMITS: &str = "LimitSet";
 
 pub(crate) struct Parts {
-    pub version: Version,
+    pub version: ConfigVersion,
     pub routes: IndexMap<String, Route>,
     pub services: IndexMap<String, Service>,
     pub limits: Limits,
@@ -157,7 +157,9 @@
     (entry.get_str("ResourceType").unwrap_or(""), name.and_then(|name| name.as_str()).unwrap_or(""))
 }
 
-pub(crate) fn top_version(top: &Fields<'_>, above: Option<Version>, faults: &mut Faults) -> Option<Version> {
+pub(crate) fn top_version(
+    top: &Fields<'_>, above: Option<ConfigVersion>, faults: &mut Faults,
+) -> Option<ConfigVersion> {
     let expected = "a text of eight hexadecimal digits";
     let version =
         top.wanted("ConfigVersion", expected, faults, |value| value.as_str().and_then(crate::version))?;
@@ -183,7 +185,7 @@
     order.filter(|_| faults.is_empty()).ok_or(faults)
 }
 
-pub(crate) fn parts(value: &OwnedValue, above: Option<Version>) -> Result<Parts, Faults> {
+pub(crate) fn parts(value: &OwnedValue, above: Option<ConfigVersion>) -> Result<Parts, Faults> {
     let mut faults = Faults::default();
     let parts = gathered(value, above, &mut faults);
     match parts {
@@ -192,7 +194,7 @@
     }
 }
 
-fn gathered(value: &OwnedValue, above: Option<Version>, faults: &mut Faults) -> Option<Parts> {
+fn gathered(value: &OwnedValue, above: Option<ConfigVersion>, faults: &mut Faults) -> Option<Parts> {
     let top = Fields::new(value, Place::Top, faults)?;
     let version = top_version(&top, above, faults);
     let entries = top.wanted("ResourceSet", "a list of entries", faults, |value| value.as_array())?;
--- a/crates/consensus/src/book.rs
+++ b/crates/consensus/src/book.rs
@@ -2,7 +2,7 @@
 
 use std::mem;
 
-use types::{Index, MS, Micros, Place, Seat, Term};
+use types::{LogIndex, MS, Micros, NodeAddress, Term, VoterId};
 
 use crate::disk::Disk;
 use crate::follow::Coming;
@@ -41,18 +41,18 @@
 /// waits in its socket. It hands over `Event::Kept` often enough: entries since the last one stay in memory.
 #[derive(Clone)]
 pub struct Promptbook {
-    pub(crate) own: Seat,
+    pub(crate) own: VoterId,
     pub(crate) timing: Timing,
     pub(crate) chance: oorandom::Rand64,
     pub(crate) now: Micros,
     pub(crate) term: Term,
-    pub(crate) voted: Option<Seat>,
+    pub(crate) voted: Option<VoterId>,
     pub(crate) log: Log,
     pub(crate) disk: Disk,
-    pub(crate) commit: Index,
-    applied: Index,
+    pub(crate) commit: LogIndex,
+    applied: LogIndex,
     pub(crate) role: Role,
-    pub(crate) leader: Option<Seat>,
+    pub(crate) leader: Option<VoterId>,
     pub(crate) heard_leader: Option<Micros>,
     /// When a majority was last known to follow a leader, and in which term.
     pub(crate) proved: Option<(Term, Micros)>,
@@ -61,20 +61,20 @@
     /// When a follower looks for another leader.
     pub(crate) deadline: Micros,
     /// Entries up to this one are as in the log of this term's leader.
-    pub(crate) verified: Index,
+    pub(crate) verified: LogIndex,
     /// A grant of this term that waits for the disk.
     pub(crate) owes_vote: bool,
     /// An answer to the leader that waits for the disk, with its round.
     pub(crate) owes_round: Option<u64>,
     pub(crate) coming: Option<Coming>,
-    places: Vec<Place>,
+    places: Vec<NodeAddress>,
     next_knock: Micros,
     /// Started again, and has neither heard a leader nor stood yet: its first try doesn't wait long.
     pub(crate) hasty: bool,
     /// The process is about to end: it takes no proposals and stands for nothing.
     pub(crate) leaving: Option<Leaving>,
     /// What the last `Effect::Leader` said.
-    told: (Option<Seat>, Term),
+    told: (Option<VoterId>, Term),
     pub(crate) out: Vec<Effect>,
 }
 
@@ -82,7 +82,7 @@
     /// Begins a life. `first`: only on the very first start of the whole system and on an empty disk, the same
     /// for everybody, with `own` among them. With an empty `saved` and no `first` it is no member, and knocks.
     pub fn start(
-        own: Seat, first: Option<Members>, saved: Saved, timing: Timing, seed: u64, now: Micros,
+        own: VoterId, first: Option<Members>, saved: Saved, timing: Timing, seed: u64, now: Micros,
     ) -> (Promptbook, Vec<Effect>) {
         let empty = saved.term == Term(0) && saved.snapshot.is_none() && saved.entries.is_empty();
         let holds = saved.entries.iter().map(|entry| entry.index).max().unwrap_or_default();
@@ -122,7 +122,7 @@
         if let (true, Some(members)) = (empty, first) {
             // The same first entry everywhere, in a term that nobody is elected in.
             book.term = Term(1);
-            book.log.append(Entry { index: Index(1), term: Term(1), what: What::Members(members) });
+            book.log.append(Entry { index: LogIndex(1), term: Term(1), what: What::Members(members) });
         }
         book.told.1 = book.term;
         if book.is_member() {
@@ -134,7 +134,7 @@
             book.arm_within(FIRST_WAIT);
             book.hasty = true;
         }
-        if let Some(snapshot) = book.log.snapshot().filter(|snapshot| snapshot.index > Index(0)) {
+        if let Some(snapshot) = book.log.snapshot().filter(|snapshot| snapshot.index > LogIndex(0)) {
             book.out.push(Effect::Restore { index: snapshot.index, data: snapshot.data.clone() });
         }
         let effects = book.finish();
@@ -200,7 +200,7 @@
     }
 
     /// The leader of the own term, where it is known.
-    pub fn leader(&self) -> Option<Seat> {
+    pub fn leader(&self) -> Option<VoterId> {
         self.leader
     }
 
@@ -210,17 +210,17 @@
     }
 
     /// All entries up to here are known to be committed, and their commands were handed out.
-    pub fn committed(&self) -> Index {
+    pub fn committed(&self) -> LogIndex {
         self.commit
     }
 
     /// The end of the own log.
-    pub fn last(&self) -> Index {
+    pub fn last(&self) -> LogIndex {
         self.log.last()
     }
 
     /// The entry at an index, where it is in memory.
-    pub fn entry(&self, index: Index) -> Option<&Entry> {
+    pub fn entry(&self, index: LogIndex) -> Option<&Entry> {
         self.log.get(index)
     }
 
@@ -313,7 +313,7 @@
         self.votes_in(self.own)
     }
 
-    pub(crate) fn votes_in(&self, seat: Seat) -> bool {
+    pub(crate) fn votes_in(&self, seat: VoterId) -> bool {
         self.log.members().0.contains(&seat)
     }
 
@@ -325,12 +325,12 @@
         self.disk.well(self.now, HUNG_ELECTIONS * self.timing.election)
     }
 
-    pub(crate) fn say(&mut self, to: Seat, word: Word) {
+    pub(crate) fn say(&mut self, to: VoterId, word: Word) {
         self.say_in(self.term, to, word);
     }
 
-    pub(crate) fn say_in(&mut self, term: Term, to: Seat, word: Word) {
-        self.out.push(Effect::Send { to: to.place, message: Message::Said { to, term, word } });
+    pub(crate) fn say_in(&mut self, term: Term, to: VoterId, word: Word) {
+        self.out.push(Effect::Send { to: to.address, message: Message::Said { to, term, word } });
     }
 
     /// Sets the time after which a follower looks for another leader.
@@ -345,7 +345,7 @@
     }
 
     /// The one way to follow: in a newer term, or in the own one. What a leader had open is answered.
-    pub(crate) fn follow(&mut self, term: Term, leader: Option<Seat>) {
+    pub(crate) fn follow(&mut self, term: Term, leader: Option<VoterId>) {
         if term > self.term {
             self.term = term;
             self.voted = None;
@@ -361,7 +361,7 @@
         self.hasty &= leader.is_none();
         if let Role::Leading(lead) = mem::replace(&mut self.role, Role::Following) {
             self.verified = self.commit;
-            lead.close(leader.map(|seat| seat.place), &mut self.out);
+            lead.close(leader.map(|seat| seat.address), &mut self.out);
             self.log.trim(NOBODY);
             self.arm();
         }
@@ -401,30 +401,32 @@
     fn knock(&mut self) {
         self.next_knock = self.now + self.timing.knock;
         let mut places = self.places.clone();
-        places.extend(self.log.members().0.iter().map(|seat| seat.place));
+        places.extend(self.log.members().0.iter().map(|seat| seat.address));
         places.sort_unstable();
         places.dedup();
-        for to in places.into_iter().filter(|place| *place != self.own.place) {
+        for to in places.into_iter().filter(|place| *place != self.own.address) {
             self.out.push(Effect::Send { to, message: Message::Knock });
         }
     }
 
-    fn received(&mut self, from: Seat, message: Message) {
+    fn received(&mut self, from: VoterId, message: Message) {
         if from == self.own {
             return;
         }
         match message {
             Message::Knock if self.leads() => self.knocked(from),
             Message::Knock => {
-                let place = self.leader.map(|seat| seat.place).filter(|place| *place != from.place);
+                let place = self.leader.map(|seat| seat.address).filter(|place| *place != from.address);
                 if let Some(place) = place {
-                    self.out.push(Effect::Send { to: from.place, message: Message::Leader { place } });
+                    self.out.push(Effect::Send { to: from.address, message: Message::Leader { place } });
                 }
             }
             Message::Leader { place } => {
                 // Where the peers told are all that serve control, it was knocked at already.
-                let known = self.places.contains(&place) || place == self.own.place;
-                if self.leaderless() && !known && !self.log.members().0.iter().any(|seat| seat.place == place)
+                let known = self.places.contains(&place) || place == self.own.address;
+                if self.leaderless()
+                    && !known
+                    && !self.log.members().0.iter().any(|seat| seat.address == place)
                 {
                     self.out.push(Effect::Send { to: place, message: Message::Knock });
                 }
@@ -434,7 +436,7 @@
         }
     }
 
-    fn heard(&mut self, from: Seat, term: Term, word: Word) {
+    fn heard(&mut self, from: VoterId, term: Term, word: Word) {
         match word {
             Word::MayStand { last, last_term } => self.may_stand(from, term, last, last_term),
             Word::MayStood { granted: true } => self.may_stood(from, term),
@@ -463,7 +465,7 @@
         }
     }
 
-    fn kept(&mut self, index: Index, data: Vec<u8>) {
+    fn kept(&mut self, index: LogIndex, data: Vec<u8>) {
         if index > self.log.snapshot_index() && index <= self.applied {
             let term = self.log.term_at(index).expect("what comes after the snapshot is in memory");
             let members = self.log.members_at(index).clone();
@@ -474,7 +476,7 @@
     }
 
     /// A leader's snapshot stands in for what was to be handed out up to its index.
-    pub(crate) fn restored(&mut self, index: Index, data: Vec<u8>) {
+    pub(crate) fn restored(&mut self, index: LogIndex, data: Vec<u8>) {
         self.commit = index;
         self.applied = index;
         self.out.push(Effect::Restore { index, data });
@@ -514,7 +516,7 @@
 
     fn apply(&mut self) {
         while self.applied < self.commit {
-            let index = Index(self.applied.0 + 1);
+            let index = LogIndex(self.applied.0 + 1);
             let entry = self.log.get(index).expect("what is committed and not handed out is in memory");
             if let What::Command(data) = &entry.what {
                 let data = data.clone();
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -1,6 +1,6 @@
 //! What is known to be on disk, and the one write that may be under way.
 
-use types::{Index, MS, Micros, Seat, Term};
+use types::{LogIndex, MS, Micros, Term, VoterId};
 
 use crate::log::Log;
 use crate::mark::Marks;
@@ -14,13 +14,13 @@
     no: WriteNo,
     since: Micros,
     term: Term,
-    voted: Option<Seat>,
+    voted: Option<VoterId>,
     /// Entries up to this one are as in memory once it is synced.
-    upto: Index,
+    upto: LogIndex,
     /// The last entry on disk once it is synced, whether still good or not.
-    last: Index,
-    snapshot: Index,
-    committed: Index,
+    last: LogIndex,
+    snapshot: LogIndex,
+    committed: LogIndex,
 }
 
 #[derive(Clone)]
@@ -28,14 +28,14 @@
     next: u64,
     under_way: Option<UnderWay>,
     term: Term,
-    voted: Option<Seat>,
+    voted: Option<VoterId>,
     /// Entries up to this one are on disk as in memory.
-    stable: Index,
+    stable: LogIndex,
     /// No entry after this one can be on disk, whatever came of the writes.
-    holds: Index,
-    snapshot: Index,
+    holds: LogIndex,
+    snapshot: LogIndex,
     /// What is committed, as the disk tells at a start.
-    committed: Index,
+    committed: LogIndex,
     /// When a newer `committed` is written for its own sake.
     lazily: Option<Micros>,
     /// The last write failed; when to try again.
@@ -44,7 +44,9 @@
 
 impl Disk {
     /// `log` as it was read, `holds` the last index found.
-    pub(crate) fn open(term: Term, voted: Option<Seat>, log: &Log, holds: Index, committed: Index) -> Disk {
+    pub(crate) fn open(
+        term: Term, voted: Option<VoterId>, log: &Log, holds: LogIndex, committed: LogIndex,
+    ) -> Disk {
         let (stable, snapshot) = (log.last(), log.snapshot_index());
         Disk {
             next: 1,
@@ -60,12 +62,12 @@
         }
     }
 
-    pub(crate) fn stable(&self) -> Index {
+    pub(crate) fn stable(&self) -> LogIndex {
         self.stable
     }
 
     /// True if this term and vote are on disk.
-    pub(crate) fn knows(&self, term: Term, voted: Option<Seat>) -> bool {
+    pub(crate) fn knows(&self, term: Term, voted: Option<VoterId>) -> bool {
         self.term == term && self.voted == voted
     }
 
@@ -80,15 +82,15 @@
     }
 
     /// More is committed than the disk tells. It goes with the next write, or alone once all is calm.
-    pub(crate) fn committed(&mut self, now: Micros, committed: Index) {
+    pub(crate) fn committed(&mut self, now: Micros, committed: LogIndex) {
         if committed > self.committed {
             self.lazily = Some(now + LAZY);
         }
     }
 
     /// Memory has other entries from `from` on than it had.
-    pub(crate) fn cut(&mut self, from: Index) {
-        let before = Index(from.0.saturating_sub(1));
+    pub(crate) fn cut(&mut self, from: LogIndex) {
+        let before = LogIndex(from.0.saturating_sub(1));
         self.stable = self.stable.min(before);
         if let Some(write) = &mut self.under_way {
             write.upto = write.upto.min(before);
@@ -97,13 +99,13 @@
 
     /// The next write, where there is something to write and none is under way.
     pub(crate) fn issue(
-        &mut self, now: Micros, term: Term, voted: Option<Seat>, log: &Log, committed: Index,
+        &mut self, now: Micros, term: Term, voted: Option<VoterId>, log: &Log, committed: LogIndex,
     ) -> Option<Write> {
         if self.under_way.is_some() || self.retry.is_some_and(|at| now < at) {
             return None;
         }
         let snapshot = log.snapshot().filter(|snapshot| snapshot.index > self.snapshot);
-        let good = self.stable.max(snapshot.map_or(Index(0), |snapshot| snapshot.index));
+        let good = self.stable.max(snapshot.map_or(LogIndex(0), |snapshot| snapshot.index));
         let last = log.last();
         let lazily = self.lazily.is_some_and(|at| now >= at);
         if self.knows(term, voted) && snapshot.is_none() && good == last && self.holds <= good && !lazily {
@@ -116,8 +118,8 @@
             term,
             voted,
             committed,
-            cut_from: (self.holds > good).then_some(Index(good.0 + 1)),
-            entries: log.slice(Index(good.0 + 1), usize::MAX),
+            cut_from: (self.holds > good).then_some(LogIndex(good.0 + 1)),
+            entries: log.slice(LogIndex(good.0 + 1), usize::MAX),
             snapshot: snapshot.map(|snapshot| (**snapshot).clone()),
         };
         self.holds = self.holds.max(last);
@@ -129,7 +131,7 @@
     }
 
     /// True if this was the one under way.
-    pub(crate) fn synced(&mut self, no: WriteNo, last: Index) -> bool {
+    pub(crate) fn synced(&mut self, no: WriteNo, last: LogIndex) -> bool {
         let Some(write) = self.under_way.take_if(|write| write.no == no) else { return false };
         self.term = write.term;
         self.voted = write.voted;
--- a/crates/consensus/src/follow.rs
+++ b/crates/consensus/src/follow.rs
@@ -1,6 +1,6 @@
 //! Following: entries, beats and snapshots from a leader, and the answers to them.
 
-use types::{Index, Seat, Term};
+use types::{LogIndex, Term, VoterId};
 
 use crate::book::{Promptbook, Role};
 use crate::lead::NOBODY;
@@ -13,7 +13,7 @@
 /// the same entry are the same bytes at every seat, so that another leader may go on where the first one ended.
 #[derive(Clone, Hash)]
 pub(crate) struct Coming {
-    index: Index,
+    index: LogIndex,
     term: Term,
     total: u64,
     data: Vec<u8>,
@@ -27,7 +27,7 @@
 
 impl Promptbook {
     /// Takes `from` for the leader of `term`, which is the own one or newer. False if it can't be.
-    pub(crate) fn accept(&mut self, from: Seat, term: Term) -> bool {
+    pub(crate) fn accept(&mut self, from: VoterId, term: Term) -> bool {
         if term == self.term && (self.leads() || self.leader.is_some_and(|leader| leader != from)) {
             return false;
         }
@@ -46,7 +46,7 @@
         true
     }
 
-    pub(crate) fn by_leader(&mut self, from: Seat, word: Word) {
+    pub(crate) fn by_leader(&mut self, from: VoterId, word: Word) {
         match word {
             Word::Append { prev, prev_term, entries, commit, round } => {
                 self.take_entries(prev, prev_term, entries, commit, round);
@@ -64,7 +64,9 @@
         }
     }
 
-    fn take_entries(&mut self, prev: Index, prev_term: Term, entries: Vec<Entry>, commit: Index, round: u64) {
+    fn take_entries(
+        &mut self, prev: LogIndex, prev_term: Term, entries: Vec<Entry>, commit: LogIndex, round: u64,
+    ) {
         let Some(leader) = self.leader else { return };
         let mut next = prev.0;
         let in_order = entries.iter().all(|entry| {
@@ -78,11 +80,11 @@
         if prev > self.commit && self.log.term_at(prev) != Some(prev_term) {
             let hint = match self.log.last() {
                 last if last < prev => last,
-                _ => Index(self.log.run_start(prev).0.saturating_sub(1)),
+                _ => LogIndex(self.log.run_start(prev).0.saturating_sub(1)),
             };
             return self.say(leader, Word::Gap { prev, hint: hint.max(self.commit), round });
         }
-        let upto = Index(prev.0.saturating_add(entries.len() as u64));
+        let upto = LogIndex(prev.0.saturating_add(entries.len() as u64));
         for entry in entries {
             if entry.index <= self.commit || self.log.term_at(entry.index) == Some(entry.term) {
                 continue;
@@ -102,7 +104,7 @@
         }
     }
 
-    fn take_commit(&mut self, commit: Index) {
+    fn take_commit(&mut self, commit: LogIndex) {
         self.commit = self.commit.max(commit.min(self.verified));
         self.coming.take_if(|coming| coming.index <= self.commit);
     }
@@ -126,7 +128,7 @@
         }
     }
 
-    fn take_piece(&mut self, leader: Seat, piece: Snapshot, total: u64, at: u64, round: u64) {
+    fn take_piece(&mut self, leader: VoterId, piece: Snapshot, total: u64, at: u64, round: u64) {
         let Snapshot { index, term, members, data } = piece;
         if index <= self.commit {
             return self.answer(round);
@@ -149,9 +151,9 @@
         self.owes_round = self.owes_round.max(Some(round));
     }
 
-    fn install(&mut self, index: Index, term: Term, members: Members, data: Vec<u8>) {
+    fn install(&mut self, index: LogIndex, term: Term, members: Members, data: Vec<u8>) {
         if !self.log.replace(Snapshot { index, term, members, data: data.clone() }) {
-            self.disk.cut(Index(1));
+            self.disk.cut(LogIndex(1));
         }
         self.log.trim(NOBODY);
         self.verified = self.verified.max(index);
--- a/crates/consensus/src/lead.rs
+++ b/crates/consensus/src/lead.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use types::{Ask, Index, Micros, Place, Seat};
+use types::{CallId, LogIndex, Micros, NodeAddress, VoterId};
 
 use crate::book::{Promptbook, Role};
 use crate::log::{Log, weight};
@@ -27,7 +27,7 @@
 /// Snapshots on their way that are not the newest, at most.
 const OLD_SNAPSHOTS: usize = 2;
 /// No follower needs anything.
-pub(crate) const NOBODY: Index = Index(u64::MAX);
+pub(crate) const NOBODY: LogIndex = LogIndex(u64::MAX);
 /// Most reads that wait for a proof of leadership; more are refused.
 const MOST_READS: usize = 4096;
 
@@ -47,7 +47,7 @@
 /// An append that is not answered.
 #[derive(Clone)]
 struct Flying {
-    upto: Index,
+    upto: LogIndex,
     since: Micros,
     bytes: usize,
 }
@@ -55,21 +55,21 @@
 /// What a leader knows of one other seat, member or learner.
 #[derive(Clone)]
 pub(crate) struct Peer {
-    pub(crate) seat: Seat,
+    pub(crate) seat: VoterId,
     /// Since when it is served in this term.
     pub(crate) since: Micros,
     /// Its last word of this term.
     pub(crate) heard: Option<Micros>,
     /// On its disk as in the log here.
-    pub(crate) matched: Index,
-    next: Index,
+    pub(crate) matched: LogIndex,
+    next: LogIndex,
     mode: Mode,
     /// When something was sent that wants an answer, with the round it had.
     asked: Micros,
     asked_round: u64,
     /// The highest round that came back.
     pub(crate) round: u64,
-    told: Index,
+    told: LogIndex,
     /// Bytes of the last append or piece sent to probe or as a snapshot.
     sent_bytes: usize,
     /// How often much was taken for lost lately, and whether what it has next was sent again.
@@ -84,14 +84,14 @@
 }
 
 impl Peer {
-    pub(crate) fn new(seat: Seat, next: Index, now: Micros) -> Peer {
+    pub(crate) fn new(seat: VoterId, next: LogIndex, now: Micros) -> Peer {
         let mode = Mode::Probe { bare: false, sent: false };
-        let (asked_round, round, told) = (0, 0, Index(0));
+        let (asked_round, round, told) = (0, 0, LogIndex(0));
         Peer {
             seat,
             since: now,
             heard: None,
-            matched: Index(0),
+            matched: LogIndex(0),
             next,
             mode,
             asked: now,
@@ -186,15 +186,15 @@
     }
 
     /// It has all up to here, or has it once the snapshot on its way is whole.
-    fn has(&self) -> Index {
+    fn has(&self) -> LogIndex {
         match &self.mode {
             Mode::Pieces { snapshot, .. } => snapshot.index,
-            _ if self.matched > Index(0) => self.matched,
-            _ => Index(self.next.0.saturating_sub(1)),
+            _ if self.matched > LogIndex(0) => self.matched,
+            _ => LogIndex(self.next.0.saturating_sub(1)),
         }
     }
 
-    fn probe(&mut self, next: Index, bare: bool) {
+    fn probe(&mut self, next: LogIndex, bare: bool) {
         self.next = next;
         self.mode = Mode::Probe { bare, sent: false };
     }
@@ -205,7 +205,7 @@
     now: Micros,
     term: types::Term,
     log: &'a Log,
-    commit: Index,
+    commit: LogIndex,
     round: u64,
     piece: usize,
     out: &'a mut Vec<Effect>,
@@ -222,11 +222,11 @@
             peer.told = self.commit;
         }
         let message = Message::Said { to: peer.seat, term: self.term, word };
-        self.out.push(Effect::Send { to: peer.seat.place, message });
+        self.out.push(Effect::Send { to: peer.seat.address, message });
     }
 
     fn append(&mut self, peer: &mut Peer, entries: Vec<Entry>) {
-        let prev = Index(peer.next.0 - 1);
+        let prev = LogIndex(peer.next.0 - 1);
         let prev_term = self.log.term_at(prev).expect("a seat that needs what is gone gets pieces");
         self.say(peer, Word::Append { prev, prev_term, entries, commit: self.commit, round: self.round });
     }
@@ -255,10 +255,10 @@
                     && matches!(&peer.mode, Mode::Flow { flight } if flight.len() < WINDOW)
                 {
                     let entries = self.log.slice(peer.next, self.piece);
-                    let upto = Index(peer.next.0 + entries.len() as u64 - 1);
+                    let upto = LogIndex(peer.next.0 + entries.len() as u64 - 1);
                     let bytes = entries.iter().map(weight).sum();
                     self.append(peer, entries);
-                    peer.next = Index(upto.0 + 1);
+                    peer.next = LogIndex(upto.0 + 1);
                     if let Mode::Flow { flight } = &mut peer.mode {
                         flight.push_back(Flying { upto, since: self.now, bytes });
                     }
@@ -298,7 +298,7 @@
                 peer.lost(bytes);
             }
             Mode::Flow { flight } if flight.front().is_some_and(|first| late(first.since)) => {
-                peer.probe(Index(peer.matched.0 + 1), true);
+                peer.probe(LogIndex(peer.matched.0 + 1), true);
                 peer.lost(bytes);
             }
             Mode::Pieces { sent, mute, .. } if sent.is_some_and(|at| late(at + beat)) => {
@@ -319,23 +319,23 @@
 pub(crate) struct Leading {
     pub(crate) since: Micros,
     /// Its first entry; all before it is committed once this one is.
-    pub(crate) first: Index,
+    pub(crate) first: LogIndex,
     pub(crate) peers: Vec<Peer>,
     pub(crate) next_beat: Micros,
-    asks: VecDeque<(Index, Ask)>,
+    asks: VecDeque<(LogIndex, CallId)>,
     /// Each read with the round that must come back from a majority.
-    pub(crate) reads: VecDeque<(u64, Ask)>,
+    pub(crate) reads: VecDeque<(u64, CallId)>,
     pub(crate) round: u64,
     /// Bytes of entries that are not committed.
     open: usize,
     /// The voter that is to go, and the round that those who stay answer first.
-    pub(crate) wish: Option<(Seat, u64)>,
+    pub(crate) wish: Option<(VoterId, u64)>,
     pub(crate) proof: Proof,
 }
 
 impl Leading {
     /// Answers all that is open: what was placed may still be committed, the rest was never done.
-    pub(crate) fn close(self, leader: Option<Place>, out: &mut Vec<Effect>) {
+    pub(crate) fn close(self, leader: Option<NodeAddress>, out: &mut Vec<Effect>) {
         out.extend(self.asks.into_iter().map(|(_, ask)| Effect::Refused { ask, leader, lost: true }));
         out.extend(self.reads.into_iter().map(|(_, ask)| Effect::Refused { ask, leader, lost: false }));
     }
@@ -360,7 +360,7 @@
         }
     }
 
-    pub(crate) fn ask_at(&mut self, index: Index) -> Option<Ask> {
+    pub(crate) fn ask_at(&mut self, index: LogIndex) -> Option<CallId> {
         self.asks.pop_front_if(|(at, _)| *at == index).map(|(_, ask)| ask)
     }
 
@@ -372,7 +372,7 @@
         sent.iter().filter(|one| one.index != log.snapshot_index()).map(|one| one.data.len()).sum()
     }
 
-    pub(crate) fn peer(&self, seat: Seat) -> Option<&Peer> {
+    pub(crate) fn peer(&self, seat: VoterId) -> Option<&Peer> {
         self.peers.iter().find(|peer| peer.seat == seat)
     }
 }
@@ -380,7 +380,7 @@
 impl Promptbook {
     /// Elected.
     pub(crate) fn lead(&mut self) {
-        let next = Index(self.log.last().0 + 1);
+        let next = LogIndex(self.log.last().0 + 1);
         let others = self.log.members().0.iter().filter(|seat| **seat != self.own);
         let peers = others.map(|seat| Peer::new(*seat, next, self.now)).collect();
         self.role = Role::Leading(Box::new(Leading {
@@ -400,8 +400,8 @@
     }
 
     /// Puts an entry at the end of the own log.
-    pub(crate) fn place(&mut self, what: What) -> Index {
-        let index = Index(self.log.last().0 + 1);
+    pub(crate) fn place(&mut self, what: What) -> LogIndex {
+        let index = LogIndex(self.log.last().0 + 1);
         let entry = Entry { index, term: self.term, what };
         if let Role::Leading(lead) = &mut self.role {
             lead.open += weight(&entry);
@@ -410,12 +410,12 @@
         index
     }
 
-    fn refuse(&mut self, ask: Ask) {
-        let leader = self.leader.map(|seat| seat.place);
+    fn refuse(&mut self, ask: CallId) {
+        let leader = self.leader.map(|seat| seat.address);
         self.out.push(Effect::Refused { ask, leader, lost: false });
     }
 
-    pub(crate) fn propose(&mut self, ask: Ask, data: Vec<u8>) {
+    pub(crate) fn propose(&mut self, ask: CallId, data: Vec<u8>) {
         if self.leaves() || !matches!(&self.role, Role::Leading(lead) if lead.open + data.len() <= MOST_OPEN)
         {
             return self.refuse(ask);
@@ -426,7 +426,7 @@
         }
     }
 
-    pub(crate) fn read(&mut self, ask: Ask) {
+    pub(crate) fn read(&mut self, ask: CallId) {
         let leaves = self.leaves();
         match &mut self.role {
             // Only what is sent after the ask can prove that it still leads.
@@ -437,7 +437,7 @@
         }
     }
 
-    pub(crate) fn knows_peer(&self, seat: Seat) -> bool {
+    pub(crate) fn knows_peer(&self, seat: VoterId) -> bool {
         matches!(&self.role, Role::Leading(lead) if lead.peer(seat).is_some())
     }
 
@@ -452,21 +452,21 @@
     }
 
     /// How many of `seats` answered within the last election span; the own one always does.
-    pub(crate) fn lately(&self, seats: &[Seat]) -> usize {
+    pub(crate) fn lately(&self, seats: &[VoterId]) -> usize {
         let Role::Leading(lead) = &self.role else { return 0 };
         let spoke = |peer: &Peer| peer.heard.is_some() && peer.silent(self.now) < self.timing.election;
         seats.iter().filter(|seat| **seat == self.own || lead.peer(**seat).is_some_and(spoke)).count()
     }
 
     /// True if a majority of `seats` answered lately.
-    pub(crate) fn can_commit(&self, seats: &[Seat]) -> bool {
+    pub(crate) fn can_commit(&self, seats: &[VoterId]) -> bool {
         self.lately(seats) > seats.len() / 2
     }
 
     /// The highest value that a majority of the members has.
     fn agreed<T: Ord + Copy>(&self, own: T, of: impl Fn(&Peer) -> T) -> Option<T> {
         let Role::Leading(lead) = &self.role else { return None };
-        let value = |seat: &Seat| if *seat == self.own { Some(own) } else { lead.peer(*seat).map(&of) };
+        let value = |seat: &VoterId| if *seat == self.own { Some(own) } else { lead.peer(*seat).map(&of) };
         let mut values: Vec<Option<T>> = self.log.members().0.iter().map(value).collect();
         values.sort_unstable();
         values[(values.len() - 1) / 2]
@@ -548,7 +548,7 @@
     }
 
     /// The last entry of the follower farthest behind, of those that are there and move.
-    pub(crate) fn needed(&self) -> Index {
+    pub(crate) fn needed(&self) -> LogIndex {
         let Role::Leading(lead) = &self.role else { return NOBODY };
         let election = self.timing.election;
         let follows = |peer: &&Peer| {
@@ -564,17 +564,17 @@
         let newest = self.log.snapshot_index();
         let Role::Leading(lead) = &mut self.role else { return };
         let old = |peer: &Peer| peer.snapshot().map(|snapshot| snapshot.index).filter(|at| *at < newest);
-        let mut sent: Vec<Index> = lead.peers.iter().filter_map(old).collect();
+        let mut sent: Vec<LogIndex> = lead.peers.iter().filter_map(old).collect();
         sent.sort_unstable();
         sent.dedup();
         let Some(last) = sent.len().checked_sub(OLD_SNAPSHOTS + 1).map(|at| sent[at]) else { return };
         for peer in lead.peers.iter_mut().filter(|peer| old(peer).is_some_and(|at| at <= last)) {
-            peer.probe(Index(peer.matched.0 + 1), true);
+            peer.probe(LogIndex(peer.matched.0 + 1), true);
         }
     }
 
     /// Notes a word of a seat that is served, and its round.
-    pub(crate) fn peer_spoke(&mut self, from: Seat, round: u64) -> Option<&mut Peer> {
+    pub(crate) fn peer_spoke(&mut self, from: VoterId, round: u64) -> Option<&mut Peer> {
         let Role::Leading(lead) = &mut self.role else { return None };
         let newest = lead.round;
         let peer = lead.peers.iter_mut().find(|peer| peer.seat == from)?;
@@ -586,7 +586,7 @@
         Some(peer)
     }
 
-    pub(crate) fn appended(&mut self, from: Seat, matched: Index, got: Index, round: u64) {
+    pub(crate) fn appended(&mut self, from: VoterId, matched: LogIndex, got: LogIndex, round: u64) {
         let (now, last) = (self.now, self.log.last());
         let Some(peer) = self.peer_spoke(from, round) else { return };
         if matched > got || got > last {
@@ -596,7 +596,7 @@
             peer.matched = matched;
             peer.moved(now);
         }
-        let next = Index(got.0 + 1);
+        let next = LogIndex(got.0 + 1);
         match &mut peer.mode {
             Mode::Probe { .. } if next >= peer.next => {
                 peer.next = next;
@@ -614,7 +614,7 @@
         }
     }
 
-    pub(crate) fn gap(&mut self, from: Seat, prev: Index, hint: Index, round: u64) {
+    pub(crate) fn gap(&mut self, from: VoterId, prev: LogIndex, hint: LogIndex, round: u64) {
         let now = self.now;
         let Some(peer) = self.peer_spoke(from, round) else { return };
         let asked = match peer.mode {
@@ -623,13 +623,13 @@
             Mode::Pieces { .. } => false,
         };
         if asked && prev > peer.matched {
-            let agreed = hint.min(Index(prev.0 - 1)).max(peer.matched);
-            peer.probe(Index(agreed.0 + 1), false);
+            let agreed = hint.min(LogIndex(prev.0 - 1)).max(peer.matched);
+            peer.probe(LogIndex(agreed.0 + 1), false);
             peer.moved = now;
         }
     }
 
-    pub(crate) fn taken(&mut self, from: Seat, index: Index, upto: u64, round: u64) {
+    pub(crate) fn taken(&mut self, from: VoterId, index: LogIndex, upto: u64, round: u64) {
         let now = self.now;
         let Some(peer) = self.peer_spoke(from, round) else { return };
         if let Mode::Pieces { snapshot, at, sent, .. } = &mut peer.mode
--- a/crates/consensus/src/leave.rs
+++ b/crates/consensus/src/leave.rs
@@ -1,6 +1,6 @@
 //! Leaving: a member that is told to end hands over what only it has, the lead first.
 
-use types::{Index, Micros, Seat};
+use types::{LogIndex, Micros, VoterId};
 
 use crate::Word;
 use crate::book::{Promptbook, Role};
@@ -26,9 +26,9 @@
     next_ask: Micros,
     /// The end of its log when it left, or when it gave up the lead: nothing beyond is acknowledged any more, so that
     /// what is counted on its disk ends somewhere also where changes never do.
-    upto: Option<Index>,
+    upto: Option<LogIndex>,
     /// The newest answer: entries up to there are on others' disks.
-    released: Index,
+    released: LogIndex,
 }
 
 impl Leaving {
@@ -50,7 +50,7 @@
     }
 
     /// The last entry that can have been counted on the own disk.
-    pub fn counted(&self) -> Index {
+    pub fn counted(&self) -> LogIndex {
         self.leaving.as_ref().and_then(|leaving| leaving.upto).unwrap_or(self.log.last())
     }
 
@@ -74,7 +74,7 @@
         };
         let next = lead.peers.iter().filter(fit).max_by_key(|peer| peer.heard).map(|peer| peer.seat);
         let (Some(next), true) = (next, self.commit == last && lead.reads.is_empty()) else { return };
-        let others: Vec<Seat> =
+        let others: Vec<VoterId> =
             members.iter().copied().filter(|seat| *seat != self.own && *seat != next).collect();
         // The one that stands is told last, so that its question finds the others ready.
         for seat in others.into_iter().chain([next]) {
@@ -110,17 +110,17 @@
 
     /// A voter is about to end. It is answered once a majority of the others, or all of them that speak, have on disk
     /// what it has: none that was stopped for good is waited for, nor one that is out of reach.
-    pub(crate) fn asked_release(&mut self, from: Seat, last: Index) {
+    pub(crate) fn asked_release(&mut self, from: VoterId, last: LogIndex) {
         let now = self.now;
         let Some(peer) = self.peer_spoke(from, 0) else { return };
         peer.leaving = Some(now);
         let Role::Leading(lead) = &self.role else { return };
         let others = || self.log.members().0.iter().filter(|seat| **seat != from);
-        let has = |seat: &&Seat| match lead.peer(**seat) {
+        let has = |seat: &&VoterId| match lead.peer(**seat) {
             Some(peer) => peer.matched >= last,
             None => **seat == self.own && self.disk.stable() >= last,
         };
-        let lacks = |seat: &&Seat| !has(seat) && self.lately(&[**seat]) > 0;
+        let lacks = |seat: &&VoterId| !has(seat) && self.lately(&[**seat]) > 0;
         let enough =
             others().filter(has).count() > others().count() / 2 || !others().any(|seat| lacks(&seat));
         if enough && others().any(|seat| has(&seat)) {
@@ -128,7 +128,7 @@
         }
     }
 
-    pub(crate) fn released(&mut self, from: Seat, upto: Index) {
+    pub(crate) fn released(&mut self, from: VoterId, upto: LogIndex) {
         if self.leader == Some(from)
             && let Some(leaving) = &mut self.leaving
         {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -21,11 +21,11 @@
 pub use mark::Marks;
 
 use serde::{Deserialize, Serialize};
-use types::{Ask, Form, Index, Micros, Place, Seat, Term};
+use types::{CallId, FormatVersion, LogIndex, Micros, NodeAddress, Term, VoterId};
 
 /// Who votes, after some entry of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Members(pub Vec<Seat>);
+pub struct Members(pub Vec<VoterId>);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum What {
@@ -37,14 +37,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    pub index: Index,
+    pub index: LogIndex,
     pub term: Term,
     pub what: What,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    pub index: Index,
+    pub index: LogIndex,
     pub term: Term,
     pub members: Members,
     pub data: Vec<u8>,
@@ -54,9 +54,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Saved {
     pub term: Term,
-    pub voted: Option<Seat>,
+    pub voted: Option<VoterId>,
     /// Known to be committed when it was written; more may be.
-    pub committed: Index,
+    pub committed: LogIndex,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry>,
 }
@@ -87,12 +87,12 @@
 pub struct Write {
     pub no: WriteNo,
     pub term: Term,
-    pub voted: Option<Seat>,
+    pub voted: Option<VoterId>,
     /// Entries up to here are known to be committed, and are on disk after this write. It speeds up a start and
     /// promises nothing: any earlier one would do.
-    pub committed: Index,
+    pub committed: LogIndex,
     /// Entries from this one on are cut off before `entries` are added.
-    pub cut_from: Option<Index>,
+    pub cut_from: Option<LogIndex>,
     pub entries: Vec<Entry>,
     /// Replaces the one before; entries up to its index are forgotten.
     pub snapshot: Option<Snapshot>,
@@ -106,10 +106,10 @@
     Knock,
     /// Answer to a knock by one that does not lead: who does.
     Leader {
-        place: Place,
+        place: NodeAddress,
     },
     Said {
-        to: Seat,
+        to: VoterId,
         term: Term,
         word: Word,
     },
@@ -117,9 +117,9 @@
 
 impl Message {
     /// The form that brought this word: it is not sent to a node that reads less.
-    pub fn since(&self) -> Form {
+    pub fn since(&self) -> FormatVersion {
         match self {
-            Message::Knock | Message::Leader { .. } => Form::FIRST,
+            Message::Knock | Message::Leader { .. } => FormatVersion::V1,
             Message::Said { word, .. } => word.since(),
         }
     }
@@ -129,40 +129,48 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Word {
     /// Pre-vote: would you vote for me in this term, which I have not begun yet?
-    MayStand { last: Index, last_term: Term },
+    MayStand { last: LogIndex, last_term: Term },
     /// A grant has the term asked for, a denial that of the answerer.
     MayStood { granted: bool },
     /// Vote for me in this term. Sent only once the sender's own vote and log are on its disk.
-    Stand { last: Index, last_term: Term },
+    Stand { last: LogIndex, last_term: Term },
     /// A grant is sent only once it is on disk.
     Stood { granted: bool },
     /// Entries after `prev`; `round` proves leadership when it comes back.
-    Append { prev: Index, prev_term: Term, entries: Vec<Entry>, commit: Index, round: u64 },
+    Append { prev: LogIndex, prev_term: Term, entries: Vec<Entry>, commit: LogIndex, round: u64 },
     /// The leader is there; answered if it has a round. Without one it only tells what is committed.
-    Beat { commit: Index, round: Option<u64> },
+    Beat { commit: LogIndex, round: Option<u64> },
     /// As in the leader's log: on disk up to `matched`, received up to `got`.
-    Appended { matched: Index, got: Index, round: u64 },
+    Appended { matched: LogIndex, got: LogIndex, round: u64 },
     /// There is no such entry as `prev` here; try at `hint`.
-    Gap { prev: Index, hint: Index, round: u64 },
+    Gap { prev: LogIndex, hint: LogIndex, round: u64 },
     /// Bytes of a snapshot from `at` on.
-    Piece { index: Index, index_term: Term, members: Members, total: u64, at: u64, data: Vec<u8>, round: u64 },
+    Piece {
+        index: LogIndex,
+        index_term: Term,
+        members: Members,
+        total: u64,
+        at: u64,
+        data: Vec<u8>,
+        round: u64,
+    },
     /// So many bytes of that snapshot are here.
-    Taken { index: Index, upto: u64, round: u64 },
+    Taken { index: LogIndex, upto: u64, round: u64 },
     /// To a leader of an older term: the sender's term is newer.
     Late,
     /// The leader leads no more, as it is about to end; `next` is to stand at once, and nobody waits for the
     /// one that goes.
-    Go { next: Seat },
+    Go { next: VoterId },
     /// To the leader, from a voter about to end: who else has all up to `last` on disk? Up to there the sender's log is
     /// as the leader's, and it acknowledges nothing beyond.
-    Leaving { last: Index },
+    Leaving { last: LogIndex },
     /// Answer to that, once enough others have.
-    Released { upto: Index },
+    Released { upto: LogIndex },
 }
 
 impl Word {
     /// As `Message::since`.
-    pub fn since(&self) -> Form {
+    pub fn since(&self) -> FormatVersion {
         match self {
             Word::MayStand { .. }
             | Word::MayStood { .. }
@@ -175,8 +183,8 @@
             | Word::Piece { .. }
             | Word::Taken { .. }
             | Word::Late
-            | Word::Go { .. } => Form::FIRST,
-            Word::Leaving { .. } | Word::Released { .. } => Form::SECOND,
+            | Word::Go { .. } => FormatVersion::V1,
+            Word::Leaving { .. } | Word::Released { .. } => FormatVersion::V2,
         }
     }
 }
@@ -185,18 +193,18 @@
 pub enum Event {
     Tick,
     Received {
-        from: Seat,
+        from: VoterId,
         message: Message,
     },
     /// To be ordered; answered by `Apply` with this `ask`, or by `Refused`. Each ask gets exactly one answer in
     /// a life of the process.
     Propose {
-        ask: Ask,
+        ask: CallId,
         data: Vec<u8>,
     },
     /// Answered by `ReadAt` once leadership has been proved, or by `Refused`.
     Read {
-        ask: Ask,
+        ask: CallId,
     },
     Synced {
         write: WriteNo,
@@ -206,11 +214,11 @@
     },
     /// All places known that serve control, to knock at while this one is no member; the last ones told count.
     Peers {
-        places: Vec<Place>,
+        places: Vec<NodeAddress>,
     },
     /// The driver's state after the entry at `index`, so that entries up to there can go.
     Kept {
-        index: Index,
+        index: LogIndex,
         data: Vec<u8>,
     },
     /// A leader's next beat is to prove that it leads, for `Promptbook::proved`; nothing at others.
@@ -224,36 +232,36 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     Send {
-        to: Place,
+        to: NodeAddress,
         message: Message,
     },
     Write(Write),
     /// A committed command, in order, each once in a life of the process.
     Apply {
-        index: Index,
+        index: LogIndex,
         data: Vec<u8>,
-        ask: Option<Ask>,
+        ask: Option<CallId>,
     },
     /// A snapshot stands in for all commands up to `index`.
     Restore {
-        index: Index,
+        index: LogIndex,
         data: Vec<u8>,
     },
     /// A read may be answered from the state as it is when this effect is reached: all commands up to `index`
     /// were handed out before it.
     ReadAt {
-        ask: Ask,
-        index: Index,
+        ask: CallId,
+        index: LogIndex,
     },
     /// Not done here and never will be by this ask; the leader's place where known (the own one if too much
     /// waits here). `lost`: it was placed in the log, and may still come to be committed.
     Refused {
-        ask: Ask,
-        leader: Option<Place>,
+        ask: CallId,
+        leader: Option<NodeAddress>,
         lost: bool,
     },
     Leader {
-        leader: Option<Seat>,
+        leader: Option<VoterId>,
         term: Term,
     },
 }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use types::{Index, Seat, Term};
+use types::{LogIndex, Term, VoterId};
 
 use crate::{Entry, Members, Snapshot, What};
 
@@ -19,18 +19,18 @@
     24 + match &entry.what {
         What::Nothing => 0,
         What::Command(data) => data.len(),
-        What::Members(members) => members.0.len() * size_of::<Seat>(),
+        What::Members(members) => members.0.len() * size_of::<VoterId>(),
     }
 }
 
 #[derive(Clone, Hash)]
 pub(crate) struct Log {
     /// The entry before the first one in memory; at most the snapshot's index.
-    base: Index,
+    base: LogIndex,
     base_term: Term,
     entries: VecDeque<Entry>,
     /// Members after the entry at each index, ascending; the first is that at `base` or before.
-    members: Vec<(Index, Members)>,
+    members: Vec<(LogIndex, Members)>,
     snapshot: Option<Arc<Snapshot>>,
     /// More than the tail is kept, as a follower needs it.
     holds: bool,
@@ -40,10 +40,10 @@
     /// From what a disk held. Entries after a gap, or out of order, are left out, as are those in the snapshot.
     pub(crate) fn open(snapshot: Option<Snapshot>, entries: Vec<Entry>) -> Log {
         let mut log = Log {
-            base: Index(0),
+            base: LogIndex(0),
             base_term: Term(0),
             entries: VecDeque::new(),
-            members: vec![(Index(0), Members::default())],
+            members: vec![(LogIndex(0), Members::default())],
             snapshot: None,
             holds: false,
         };
@@ -61,40 +61,40 @@
         log
     }
 
-    pub(crate) fn base(&self) -> Index {
+    pub(crate) fn base(&self) -> LogIndex {
         self.base
     }
 
-    pub(crate) fn last(&self) -> Index {
-        Index(self.base.0 + self.entries.len() as u64)
+    pub(crate) fn last(&self) -> LogIndex {
+        LogIndex(self.base.0 + self.entries.len() as u64)
     }
 
     pub(crate) fn last_term(&self) -> Term {
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    pub(crate) fn get(&self, index: Index) -> Option<&Entry> {
+    pub(crate) fn get(&self, index: LogIndex) -> Option<&Entry> {
         let at = index.0.checked_sub(self.base.0 + 1)?;
         self.entries.get(usize::try_from(at).ok()?)
     }
 
     /// None where the entry is not in memory, be it before or after.
-    pub(crate) fn term_at(&self, index: Index) -> Option<Term> {
+    pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base { Some(self.base_term) } else { self.get(index).map(|entry| entry.term) }
     }
 
     /// The first index of the run of one term that `index` is in, as far as memory goes.
-    pub(crate) fn run_start(&self, index: Index) -> Index {
+    pub(crate) fn run_start(&self, index: LogIndex) -> LogIndex {
         let term = self.term_at(index);
         let mut start = index;
-        while start > self.base && self.term_at(Index(start.0 - 1)) == term {
-            start = Index(start.0 - 1);
+        while start > self.base && self.term_at(LogIndex(start.0 - 1)) == term {
+            start = LogIndex(start.0 - 1);
         }
         start
     }
 
     /// Entries from `from` on: at least one where there is one, else no more than `bytes`.
-    pub(crate) fn slice(&self, from: Index, bytes: usize) -> Vec<Entry> {
+    pub(crate) fn slice(&self, from: LogIndex, bytes: usize) -> Vec<Entry> {
         let start = usize::try_from(from.0.saturating_sub(self.base.0 + 1)).unwrap_or(usize::MAX);
         let mut sum = 0;
         let fits = |entry: &&Entry| {
@@ -106,7 +106,7 @@
     }
 
     /// The sum of the weights after `index`, in bytes.
-    pub(crate) fn weight_after(&self, index: Index) -> usize {
+    pub(crate) fn weight_after(&self, index: LogIndex) -> usize {
         let start = usize::try_from(index.0.saturating_sub(self.base.0)).unwrap_or(usize::MAX);
         self.entries.range(start.min(self.entries.len())..).map(weight).sum()
     }
@@ -125,7 +125,7 @@
     }
 
     /// Drops the entries from `from` on.
-    pub(crate) fn cut(&mut self, from: Index) {
+    pub(crate) fn cut(&mut self, from: LogIndex) {
         assert!(from > self.base, "what a snapshot holds is never cut");
         self.entries.truncate((from.0 - self.base.0 - 1) as usize);
         while self.members.len() > 1 && self.members.last().is_some_and(|(index, _)| *index >= from) {
@@ -139,11 +139,11 @@
     }
 
     /// The index from which the newest members count.
-    pub(crate) fn members_since(&self) -> Index {
+    pub(crate) fn members_since(&self) -> LogIndex {
         self.members.last().expect("there is always a first one").0
     }
 
-    pub(crate) fn members_at(&self, index: Index) -> &Members {
+    pub(crate) fn members_at(&self, index: LogIndex) -> &Members {
         let found = self.members.iter().rev().find(|(since, _)| *since <= index);
         &found.unwrap_or(&self.members[0]).1
     }
@@ -152,8 +152,8 @@
         self.snapshot.as_ref()
     }
 
-    pub(crate) fn snapshot_index(&self) -> Index {
-        self.snapshot.as_ref().map_or(Index(0), |snapshot| snapshot.index)
+    pub(crate) fn snapshot_index(&self) -> LogIndex {
+        self.snapshot.as_ref().map_or(LogIndex(0), |snapshot| snapshot.index)
     }
 
     /// Takes a snapshot in place of the entries up to its index, which go with the next `trim`. True if the entries
@@ -183,7 +183,7 @@
     /// Drops what the snapshot stands for but for a tail. What comes after `needed`, the last entry of the follower
     /// that is farthest behind, stays within the bounds: guards against a follower that never arrives, since what it
     /// needs next goes while a snapshot is on its way to it.
-    pub(crate) fn trim(&mut self, needed: Index) {
+    pub(crate) fn trim(&mut self, needed: LogIndex) {
         let upto = self.snapshot_index();
         let most = HELD_SNAPSHOTS * self.snapshot.as_ref().map_or(0, |snapshot| snapshot.data.len());
         let most = most.clamp(TAIL, HELD);
--- a/crates/consensus/src/seats.rs
+++ b/crates/consensus/src/seats.rs
@@ -1,6 +1,6 @@
 //! Who votes: seats let in and dismissed, one at a time, through the log.
 
-use types::{Index, Micros, Place, Seat};
+use types::{LogIndex, Micros, NodeAddress, VoterId};
 
 use crate::book::{Promptbook, Role};
 use crate::lead::Peer;
@@ -28,21 +28,21 @@
 /// the round began. Guards against a voter that counts in the majority and can't help, as it waits for megabytes.
 #[derive(Clone)]
 pub(crate) struct Rounds {
-    goal: Index,
+    goal: LogIndex,
     since: Micros,
     /// The last one was shorter than an election span, and so is the one under way.
     short: bool,
 }
 
 impl Rounds {
-    pub(crate) fn new(goal: Index, now: Micros) -> Rounds {
+    pub(crate) fn new(goal: LogIndex, now: Micros) -> Rounds {
         Rounds { goal, since: now, short: false }
     }
 
     /// `last`: the end of the leader's log.
-    fn tend(&mut self, now: Micros, matched: Index, last: Index, election: Micros) {
+    fn tend(&mut self, now: Micros, matched: LogIndex, last: LogIndex, election: Micros) {
         let took = now - self.since;
-        if matched >= self.goal && matched > Index(0) {
+        if matched >= self.goal && matched > LogIndex(0) {
             *self = Rounds { goal: last, since: now, short: took < election };
         } else if took >= election {
             self.short = false;
@@ -57,15 +57,15 @@
 
 /// The next members, where there is a change to make.
 enum Change {
-    Without(Seat, Members),
+    Without(VoterId, Members),
     With(Members),
 }
 
 impl Promptbook {
     /// A seat knocked at this leader: it becomes a learner, unless it is served already.
-    pub(crate) fn knocked(&mut self, from: Seat) {
-        let next = Index(self.log.last().0 + 1);
-        if from.place == self.own.place || self.knows_peer(from) || self.votes_in(from) {
+    pub(crate) fn knocked(&mut self, from: VoterId) {
+        let next = LogIndex(self.log.last().0 + 1);
+        if from.address == self.own.address || self.knows_peer(from) || self.votes_in(from) {
             return;
         }
         let (now, election) = (self.now, self.timing.election);
@@ -73,10 +73,11 @@
         let Role::Leading(lead) = &mut self.role else { return };
         let learner = |peer: &Peer| !members.0.contains(&peer.seat);
         // An older life of the same place is over, unless it still speaks (a knock may come late).
-        lead.peers
-            .retain(|peer| !learner(peer) || peer.seat.place != from.place || peer.silent(now) < election);
+        lead.peers.retain(|peer| {
+            !learner(peer) || peer.seat.address != from.address || peer.silent(now) < election
+        });
         let learners = || lead.peers.iter().filter(|peer| learner(peer));
-        if learners().count() < MOST_LEARNERS && !learners().any(|peer| peer.seat.place == from.place) {
+        if learners().count() < MOST_LEARNERS && !learners().any(|peer| peer.seat.address == from.address) {
             let mut peer = Peer::new(from, next, now);
             peer.rounds = Some(Rounds::new(self.log.last(), now));
             lead.peers.push(peer);
@@ -128,7 +129,7 @@
     }
 
     /// True if a majority of `seats` has answered a round; the own one always does.
-    fn answered(&self, seats: &[Seat], round: u64) -> bool {
+    fn answered(&self, seats: &[VoterId], round: u64) -> bool {
         let Role::Leading(lead) = &self.role else { return false };
         let spoke = |peer: &Peer| peer.round >= round;
         let count = seats.iter().filter(|seat| **seat == self.own || lead.peer(**seat).is_some_and(spoke));
@@ -139,7 +140,7 @@
     fn caught_up(&self, learner: &Peer) -> bool {
         let (matched, last) = (learner.matched, self.log.last());
         learner.rounds.as_ref().is_some_and(|rounds| rounds.short)
-            && matched > Index(0)
+            && matched > LogIndex(0)
             && matched.0 + NEARLY >= last.0
             && self.log.weight_after(matched) <= self.timing.piece
     }
@@ -147,14 +148,14 @@
     fn next_members(&self) -> Option<Change> {
         let Role::Leading(lead) = &self.role else { return None };
         let members = self.log.members();
-        let without = |gone: Seat| -> Option<Change> {
-            let rest: Vec<Seat> = members.0.iter().copied().filter(|seat| *seat != gone).collect();
+        let without = |gone: VoterId| -> Option<Change> {
+            let rest: Vec<VoterId> = members.0.iter().copied().filter(|seat| *seat != gone).collect();
             self.can_commit(&rest).then_some(Change::Without(gone, Members(rest)))
         };
         let (mut learners, mut ready) = (Vec::new(), None);
         for peer in lead.peers.iter().filter(|peer| !members.0.contains(&peer.seat)) {
             if peer.heard.is_some() && peer.silent(self.now) < self.timing.election {
-                learners.push(peer.seat.place);
+                learners.push(peer.seat.address);
                 if self.caught_up(peer) {
                     ready = ready.or(Some(peer.seat));
                 }
@@ -162,9 +163,9 @@
         }
         let voters = || lead.peers.iter().filter(|peer| members.0.contains(&peer.seat));
         // Another life sits at its place: it is gone for good, and so is what it promised.
-        let replaced = |place: Place| learners.contains(&place);
+        let replaced = |place: NodeAddress| learners.contains(&place);
         let gone = voters()
-            .filter(|peer| replaced(peer.seat.place) && peer.silent(self.now) >= self.timing.election);
+            .filter(|peer| replaced(peer.seat.address) && peer.silent(self.now) >= self.timing.election);
         if let Some(next) = gone.filter_map(|peer| without(peer.seat)).next() {
             return Some(next);
         }
@@ -189,11 +190,11 @@
         }
         // Without it there must be enough for the larger majority, or its loss would stop everybody; where there
         // are not, a silent voter goes first. A seat that is alone has no choice.
-        let stay = |seat: &Seat| lead.peer(*seat).is_none_or(|peer| !peer.ends(ends));
-        let staying: Vec<Seat> = members.0.iter().copied().filter(stay).collect();
+        let stay = |seat: &VoterId| lead.peer(*seat).is_none_or(|peer| !peer.ends(ends));
+        let staying: Vec<VoterId> = members.0.iter().copied().filter(stay).collect();
         let lately = self.lately(&staying);
         let borne = all == 1 || lately > all.div_ceil(2);
-        let free = |seat: &Seat| members.0.iter().all(|member| member.place != seat.place);
+        let free = |seat: &VoterId| members.0.iter().all(|member| member.address != seat.address);
         ready.filter(|seat| free(seat) && borne && all < MOST_VOTERS).map(|seat| {
             let mut next = members.clone();
             next.0.push(seat);
--- a/crates/consensus/src/stand.rs
+++ b/crates/consensus/src/stand.rs
@@ -1,6 +1,6 @@
 //! Elections: asking whether one may stand, standing, voting.
 
-use types::{Index, Micros, Seat, Term};
+use types::{LogIndex, Micros, Term, VoterId};
 
 use crate::Word;
 use crate::book::{FIRST_STAND, Promptbook, Role};
@@ -8,7 +8,7 @@
 
 #[derive(Clone)]
 pub(crate) struct Votes {
-    granted: Vec<Seat>,
+    granted: Vec<VoterId>,
     pub(crate) next_ask: Micros,
 }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    fn log_is_old(&self, last: Index, last_term: Term) -> bool {
+    fn log_is_old(&self, last: LogIndex, last_term: Term) -> bool {
         (last_term, last) < (self.log.last_term(), self.log.last())
     }
 
@@ -75,7 +75,7 @@
 
     /// The leader of this term leads no more, and names the seat that is to stand: that one asks nobody first
     /// whether it may, as all that would refuse are told the same.
-    pub(crate) fn handed(&mut self, from: Seat, next: Seat) {
+    pub(crate) fn handed(&mut self, from: VoterId, next: VoterId) {
         if self.leader != Some(from) {
             return;
         }
@@ -89,15 +89,15 @@
 
     /// A seat without any log never votes, be it asked or not: it has not been let in.
     fn may_vote(&self) -> bool {
-        self.disk_well() && self.log.last() > Index(0)
+        self.disk_well() && self.log.last() > LogIndex(0)
     }
 
-    pub(crate) fn may_stand(&mut self, from: Seat, term: Term, last: Index, last_term: Term) {
+    pub(crate) fn may_stand(&mut self, from: VoterId, term: Term, last: LogIndex, last_term: Term) {
         let granted = term > self.term && !self.led() && self.may_vote() && !self.log_is_old(last, last_term);
         self.say_in(if granted { term } else { self.term }, from, Word::MayStood { granted });
     }
 
-    pub(crate) fn may_stood(&mut self, from: Seat, term: Term) {
+    pub(crate) fn may_stood(&mut self, from: VoterId, term: Term) {
         if let Role::Asking(votes) = &mut self.role
             && term.0 == self.term.0 + 1
             && count(votes, from, &self.log.members().0) >= self.majority()
@@ -107,7 +107,7 @@
         }
     }
 
-    pub(crate) fn stand_asked(&mut self, from: Seat, term: Term, last: Index, last_term: Term) {
+    pub(crate) fn stand_asked(&mut self, from: VoterId, term: Term, last: LogIndex, last_term: Term) {
         if term > self.term {
             if self.led() {
                 return;
@@ -133,7 +133,7 @@
         }
     }
 
-    pub(crate) fn stood(&mut self, from: Seat) {
+    pub(crate) fn stood(&mut self, from: VoterId) {
         if let Role::Standing(votes) = &mut self.role
             && count(votes, from, &self.log.members().0) >= self.majority()
         {
@@ -157,7 +157,7 @@
 }
 
 /// The votes of members, with this one.
-fn count(votes: &mut Votes, from: Seat, members: &[Seat]) -> usize {
+fn count(votes: &mut Votes, from: VoterId, members: &[VoterId]) -> usize {
     if members.contains(&from) && !votes.granted.contains(&from) {
         votes.granted.push(from);
     }
--- a/crates/control-state/src/clock.rs
+++ b/crates/control-state/src/clock.rs
@@ -7,7 +7,7 @@
 //! are never too long, and guards only grow.
 
 use serde::{Deserialize, Serialize};
-use types::{Index, Micros};
+use types::{LogIndex, Micros};
 
 use crate::orders;
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
     /// The last entry that the leader had applied and that changed something.
-    pub after: Index,
+    pub after: LogIndex,
     /// So long ago.
     pub passed: Micros,
     /// For so long callers may repeat an order, as the leader's settings say: settings may differ between nodes,
@@ -37,13 +37,13 @@
 pub(crate) struct Clock {
     /// The moment of the last entry that changed something, and which that was; ordered.
     pub moment: Micros,
-    pub last: Index,
+    pub last: LogIndex,
     /// Local: when that was applied, or came as a state.
     here: Micros,
 }
 
 impl Clock {
-    pub fn at(now: Micros, moment: Micros, last: Index) -> Clock {
+    pub fn at(now: Micros, moment: Micros, last: LogIndex) -> Clock {
         Clock { moment, last, here: now }
     }
 
--- a/crates/control-state/src/count.rs
+++ b/crates/control-state/src/count.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use types::{MS, Micros, Place, SECOND};
+use types::{MS, Micros, NodeAddress, SECOND};
 
 use crate::{Command, Rollout, Script};
 
@@ -154,7 +154,7 @@
     sum: f64,
     trial: u64,
     /// What each foyer added since the height was last 0.
-    parts: BTreeMap<Place, f64>,
+    parts: BTreeMap<NodeAddress, f64>,
 }
 
 #[derive(Clone, Debug)]
@@ -172,7 +172,7 @@
     number: u32,
     heard: Micros,
     /// The last vote of each foyer; kept after it has lapsed, so that what it told is not counted twice.
-    foyers: BTreeMap<Place, Cast>,
+    foyers: BTreeMap<NodeAddress, Cast>,
     /// By route; `None` is the service as a whole.
     joints: BTreeMap<Option<u32>, Joint>,
     /// Since when nothing stands in the way of completion.
@@ -222,7 +222,7 @@
 
     /// Takes a foyer's vote. One of an older trial than the newest heard of is dropped; its order is known
     /// here or will be, whatever is counted meanwhile.
-    pub fn cast(&mut self, now: Micros, foyer: Place, mut vote: Vote) {
+    pub fn cast(&mut self, now: Micros, foyer: NodeAddress, mut vote: Vote) {
         vote.routes.truncate(MAX_ROUTES);
         match self.trials.get(&vote.service) {
             Some(trial) if trial.number > vote.number => return,
@@ -293,7 +293,7 @@
         }
     }
 
-    fn cast(&mut self, settings: &CountSettings, now: Micros, foyer: Place, vote: Vote) {
+    fn cast(&mut self, settings: &CountSettings, now: Micros, foyer: NodeAddress, vote: Vote) {
         self.heard = now;
         if self.foyers.len() >= MAX_FOYERS && !self.foyers.contains_key(&foyer) {
             return;
@@ -316,7 +316,7 @@
 
     /// Feeds the joint statistics with what a foyer's last vote told beyond what they have. What comes before a
     /// base rate is known waits for it: a leader that starts anew hears of all foyers one by one.
-    fn joined(&mut self, settings: &CountSettings, foyer: Place) {
+    fn joined(&mut self, settings: &CountSettings, foyer: NodeAddress) {
         let Some(cast) = self.foyers.get(&foyer) else { return };
         let whole = std::iter::once((None, cast.vote.whole()));
         let routes = cast.vote.routes.iter().map(|tally| (Some(tally.route), *tally));
@@ -342,7 +342,7 @@
         }
     }
 
-    fn fed(&mut self, foyer: Place, route: Option<u32>, told: (u32, u32)) {
+    fn fed(&mut self, foyer: NodeAddress, route: Option<u32>, told: (u32, u32)) {
         let Some(cast) = self.foyers.get_mut(&foyer) else { return };
         if cast.fed.len() <= MAX_ROUTES || cast.fed.contains_key(&route) {
             cast.fed.insert(route, told);
@@ -387,7 +387,7 @@
 
     /// The most that foyers without a standing back vote add to any joint statistic.
     fn backing(&self, settings: &CountSettings, now: Micros) -> f64 {
-        let back = |place: &Place| {
+        let back = |place: &NodeAddress| {
             self.foyers.get(place).is_some_and(|cast| cast.back_since.is_some() && cast.stands(settings, now))
         };
         let others = |joint: &Joint| joint.parts.iter().filter(|part| !back(part.0)).map(|part| part.1).sum();
@@ -452,7 +452,7 @@
 
 impl Joint {
     /// The design's step for each outcome, against a rate of failures three times the base's.
-    fn add(&mut self, settings: &CountSettings, foyer: Place, p0: f64, trial: u64, failed: u64) {
+    fn add(&mut self, settings: &CountSettings, foyer: NodeAddress, p0: f64, trial: u64, failed: u64) {
         let p1 = (3.0 * p0).min((1.0 + p0) / 2.0);
         let up = (p1 / p0).ln() * failed as f64;
         let down = ((1.0 - p1) / (1.0 - p0)).ln() * (trial - failed) as f64;
--- a/crates/control-state/src/outcome.rs
+++ b/crates/control-state/src/outcome.rs
@@ -1,7 +1,7 @@
 //! Outcome (of a command): a value, the same at every node, with the status that its caller is answered.
 
 use configuration::Faults;
-use types::{Form, Version};
+use types::{ConfigVersion, FormatVersion};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
@@ -10,7 +10,7 @@
     Again,
     /// Made on top of another version than the current one.
     Raced {
-        current: Version,
+        current: ConfigVersion,
     },
     Invalid(Faults),
     /// Something else is under way; the text says what.
@@ -21,7 +21,7 @@
     Unreadable,
     /// This form is agreed and not read here: the entry was not applied, and none after it will be.
     Beyond {
-        form: Form,
+        form: FormatVersion,
     },
     /// The entry was applied earlier, or the state is past it; nothing was done, and nothing is said about
     /// what its command came to.
--- a/crates/control-state/src/snapshot.rs
+++ b/crates/control-state/src/snapshot.rs
@@ -5,7 +5,7 @@
 use configuration::Bill;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
-use types::{Form, Index, Micros};
+use types::{FormatVersion, LogIndex, Micros};
 
 use crate::clock::Clock;
 use crate::earlier::{self, Earlier};
@@ -29,7 +29,7 @@
     orders: Orders,
     /// The ordered clock, and the entry that it goes on from.
     moment: Micros,
-    last: Index,
+    last: LogIndex,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -64,7 +64,7 @@
         };
         let head = vec![self.agreed.0];
         let written = match self.agreed {
-            Form::FIRST => postcard::to_extend(&kept, head),
+            FormatVersion::V1 => postcard::to_extend(&kept, head),
             _ => {
                 let (taken, orders) = (self.taken.clone(), self.orders.clone());
                 postcard::to_extend(
@@ -79,18 +79,18 @@
 
     /// Takes over the state that another node, or this one's disk, had after the entry at `index`. On an
     /// error nothing has changed. Going back to an older entry is refused.
-    pub fn restore(&mut self, now: Micros, index: Index, data: &[u8]) -> Result<(), Broken> {
+    pub fn restore(&mut self, now: Micros, index: LogIndex, data: &[u8]) -> Result<(), Broken> {
         if index < self.index {
             return Err(Broken::Older { kept: index.0, here: self.index.0 });
         }
         let (form, data) = data.split_first().ok_or(Broken::Unreadable)?;
-        let agreed = Form(*form);
-        if !self.forms.read(agreed) {
+        let agreed = FormatVersion(*form);
+        if !self.forms.contains(agreed) {
             return Err(Broken::Form(*form));
         }
         let (kept, rest): (Kept, _) = postcard::take_from_bytes(data).map_err(|_| Broken::Unreadable)?;
         let (more, rest): (More, _) = match agreed {
-            Form::FIRST => (More::default(), rest),
+            FormatVersion::V1 => (More::default(), rest),
             _ => postcard::take_from_bytes(rest).map_err(|_| Broken::Unreadable)?,
         };
         let sound = kept.rollouts.len() <= MAX_SERVICES && kept.earlier.len() <= earlier::MOST;
--- a/crates/control-state/src/taken.rs
+++ b/crates/control-state/src/taken.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use types::{Micros, SECOND, Version};
+use types::{ConfigVersion, Micros, SECOND};
 use xxhash_rust::xxh3::Xxh3;
 
 /// So many are kept whatever their age, the newest among them: nothing newer need come for days.
@@ -66,10 +66,10 @@
 
 /// Versions only rise, so that on each of them one change was taken at most: by its base.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken(BTreeMap<Version, Change>);
+pub struct Taken(BTreeMap<ConfigVersion, Change>);
 
 impl Taken {
-    pub fn known(&self, base: Version, digest: impl FnOnce() -> Digest) -> Known {
+    pub fn known(&self, base: ConfigVersion, digest: impl FnOnce() -> Digest) -> Known {
         match self.0.get(&base) {
             Some(change) if change.digest == digest() => Known::Taken,
             Some(_) => Known::Lost,
@@ -78,7 +78,7 @@
     }
 
     /// Notes a change that is taken now, on top of a base above all before it, and forgets what is out of date.
-    pub fn note(&mut self, base: Version, digest: Digest, at: Micros) {
+    pub fn note(&mut self, base: ConfigVersion, digest: Digest, at: Micros) {
         self.0.insert(base, Change { digest, at });
         let old = |oldest: &Change| at - oldest.at > AGE;
         while self.0.len() > MOST
--- a/crates/extras/src/change.rs
+++ b/crates/extras/src/change.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use replication::{Effect, Event, Message, Mode, Piece, Replicator};
-use types::{Index, MS, Micros, Place, SECOND};
+use types::{LogIndex, MS, Micros, NodeAddress, SECOND};
 
 use crate::size::ZONES;
 use crate::world::{on_wire, region};
@@ -15,7 +15,7 @@
 /// When the command is ordered, and how long it is followed after that.
 const ORDERED: Micros = 4 * SECOND;
 const FOLLOWED: Micros = 120 * SECOND;
-const LAST: Index = Index(2);
+const LAST: LogIndex = LogIndex(2);
 
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
@@ -51,12 +51,12 @@
 /// A message on its way; long data is not copied for each.
 enum Way {
     Small(Box<Message>),
-    Pieces { fresh: bool, index: Index, prev: Index },
-    Whole { index: Index },
+    Pieces { fresh: bool, index: LogIndex, prev: LogIndex },
+    Whole { index: LogIndex },
 }
 
 struct Board {
-    place: Place,
+    place: NodeAddress,
     zone: usize,
     board: Replicator,
     tick_at: Micros,
@@ -71,9 +71,9 @@
     plan: Plan,
     now: Micros,
     boards: Vec<Board>,
-    by_place: HashMap<Place, usize>,
+    by_place: HashMap<NodeAddress, usize>,
     heap: BinaryHeap<Reverse<(Micros, u64)>>,
-    events: BTreeMap<u64, (usize, Option<(Place, Way)>)>,
+    events: BTreeMap<u64, (usize, Option<(NodeAddress, Way)>)>,
     made: u64,
     data: Rc<[u8]>,
     chance: oorandom::Rand64,
@@ -104,21 +104,22 @@
     fn set_up(&mut self) {
         let all = self.plan.prompters + self.plan.gateways;
         for at in 0..all {
-            let place = Place(Ipv4Addr::new(10, 0, (at / 200) as u8, (at % 200) as u8 + 1));
+            let place = NodeAddress(Ipv4Addr::new(10, 0, (at / 200) as u8, (at % 200) as u8 + 1));
             let mode = if at < self.plan.prompters { Mode::Source } else { Mode::Follower };
-            let board = Replicator::start(place, mode, Index(0), self.plan.seed ^ at as u64, 0);
+            let board = Replicator::start(place, mode, LogIndex(0), self.plan.seed ^ at as u64, 0);
             self.by_place.insert(place, at);
             let zone = at % ZONES;
             let (tick_at, has) = (Micros::MAX, None);
             self.boards.push(Board { place, zone, board, tick_at, up: 0, down: 0, sent: 0, got: 0, has });
         }
-        let hubs: Vec<Place> = self.boards[..self.plan.prompters].iter().map(|one| one.place).collect();
-        let others: Vec<Place> = self.boards[self.plan.prompters..].iter().map(|one| one.place).collect();
+        let hubs: Vec<NodeAddress> = self.boards[..self.plan.prompters].iter().map(|one| one.place).collect();
+        let others: Vec<NodeAddress> =
+            self.boards[self.plan.prompters..].iter().map(|one| one.place).collect();
         for at in 0..all {
             self.step(at, Event::Peers { hubs: hubs.clone(), others: others.clone() });
         }
         for at in 0..self.plan.prompters {
-            self.step(at, Event::Committed { index: Index(1), data: vec![1; 100] });
+            self.step(at, Event::Committed { index: LogIndex(1), data: vec![1; 100] });
         }
     }
 
@@ -198,13 +199,13 @@
         }
     }
 
-    fn later(&mut self, when: Micros, to: usize, what: Option<(Place, Way)>) {
+    fn later(&mut self, when: Micros, to: usize, what: Option<(NodeAddress, Way)>) {
         self.made += 1;
         self.heap.push(Reverse((when, self.made)));
         self.events.insert(self.made, (to, what));
     }
 
-    fn send(&mut self, from: usize, to: Place, message: Message) {
+    fn send(&mut self, from: usize, to: NodeAddress, message: Message) {
         let Some(to) = self.by_place.get(&to).copied() else { return };
         let long = self.data.len() / 2;
         let (way, bytes) = match message {
--- a/crates/extras/src/sockets/part.rs
+++ b/crates/extras/src/sockets/part.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 use transport::{Arrived, Incoming, Post, PostLimits};
-use types::{Ask, Micros, Place, Version};
+use types::{CallId, ConfigVersion, Micros, NodeAddress};
 
 use super::{Plan, Told, wall};
 use crate::size::ZONES;
@@ -95,8 +95,8 @@
 type Waiting = Rc<RefCell<HashMap<u64, oneshot::Sender<Answer>>>>;
 
 impl Part {
-    fn place(&self, at: usize) -> Place {
-        Place(Ipv4Addr::new(127, self.net, (at / 200) as u8, (at % 200) as u8 + 1))
+    fn place(&self, at: usize) -> NodeAddress {
+        NodeAddress(Ipv4Addr::new(127, self.net, (at / 200) as u8, (at % 200) as u8 + 1))
     }
 
     /// The nodes of this process, by their numbers in the fleet.
@@ -271,7 +271,7 @@
 ) {
     let seed = part.seed(at);
     tokio::time::sleep_until(begins + SPREAD.mul_f64((seed >> 11) as f64 / (1u64 << 53) as f64)).await;
-    let seeds: Vec<Place> = (0..part.plan.prompters.min(3)).map(|at| part.place(at)).collect();
+    let seeds: Vec<NodeAddress> = (0..part.plan.prompters.min(3)).map(|at| part.place(at)).collect();
     let poke = {
         let mut one = shared.borrow_mut();
         one.born = Instant::now();
@@ -307,12 +307,12 @@
         spent.words_in += 1;
         spent.bytes_in += on_wire(bytes.len());
     }
-    step(shared, waiting, |node, now| node.mail(now, Place(from), bytes));
+    step(shared, waiting, |node, now| node.mail(now, NodeAddress(from), bytes));
 }
 
 /// A call, and its answer within the caller's patience.
 async fn call(
-    shared: &Shared, waiting: &Waiting, act: impl FnOnce(&mut Node, Micros, Ask) -> Vec<Did>,
+    shared: &Shared, waiting: &Waiting, act: impl FnOnce(&mut Node, Micros, CallId) -> Vec<Did>,
 ) -> Option<Answer> {
     thread_local! {
         static ASKS: std::cell::Cell<u64> = const { std::cell::Cell::new(0) };
@@ -323,7 +323,7 @@
     });
     let (told, answer) = oneshot::channel();
     waiting.borrow_mut().insert(ask, told);
-    step(shared, waiting, |node, now| act(node, now, Ask(ask)));
+    step(shared, waiting, |node, now| act(node, now, CallId(ask)));
     let answer = tokio::time::timeout(PATIENCE, answer).await;
     waiting.borrow_mut().remove(&ask);
     answer.ok()?.ok()
@@ -368,7 +368,7 @@
     for (phase, end) in part.plan.phases() {
         if phase != Phase::Steady {
             tokio::time::sleep_until(begins + begin).await;
-            let base = Version(version - 1);
+            let base = ConfigVersion(version - 1);
             let command = match phase {
                 Phase::Start => Command::Replace { base, text: text::whole(1, routes, services, 0, None) },
                 Phase::Replace => Command::Replace {
--- a/crates/intent/examples/fleet/world.rs
+++ b/crates/intent/examples/fleet/world.rs
@@ -15,7 +15,7 @@
     ward, witness,
 };
 use oorandom::Rand64;
-use types::{Index, Life, MS, Micros, Place, SECOND, Term};
+use types::{LogIndex, MS, Micros, NodeAddress, RunId, SECOND, Term};
 
 /// How a gateway goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -93,7 +93,7 @@
 
 const APPLY: Micros = 2_500 * MS;
 const ROUTES: usize = 24;
-const LEADER: Place = Place(Ipv4Addr::new(10, 9, 0, 1));
+const LEADER: NodeAddress = NodeAddress(Ipv4Addr::new(10, 9, 0, 1));
 const CLAIM_EVERY: Micros = SECOND;
 /// Requests a second on routes that changed lately, at each gateway.
 const FELT_RATE: f64 = 5.0;
@@ -176,7 +176,7 @@
     }
     let whole = format!(r#"{{"ConfigVersion":"{version:08x}","ResourceSet":[{}]}}"#, items.join(","));
     let bill = Bill::read(whole.as_bytes()).expect("a bill of the emulator");
-    let intent = Arc::new(Intent::read(Index(10 * version as u64), &bill, std::iter::empty()));
+    let intent = Arc::new(Intent::read(LogIndex(10 * version as u64), &bill, std::iter::empty()));
     let keyed = |route: &Route| (RouteKey::of(&route.host, &route.prefix), route.clone());
     Text { intent, routes: bill.routes.values().map(keyed).collect() }
 }
@@ -187,8 +187,8 @@
     Challenge(u64),
     Held(Held),
     Report(Report),
-    Ask(Place),
-    Order(Life, Fence, Step),
+    Ask(NodeAddress),
+    Order(RunId, Fence, Step),
 }
 
 impl Mail {
@@ -221,12 +221,12 @@
     Wake(usize),
     Claim(usize),
     Judge,
-    Mail(Place, Place, Mail),
+    Mail(NodeAddress, NodeAddress, Mail),
     Looked {
         by: usize,
         of: usize,
-        life: Life,
-        said: Index,
+        life: RunId,
+        said: LogIndex,
         since: Micros,
         seen: Vec<(RouteKey, Option<Took>)>,
     },
@@ -236,7 +236,7 @@
 }
 
 struct Gate {
-    life: Life,
+    life: RunId,
     up: bool,
     taken: usize,
     /// The versions that the tables of the two workers are made from.
@@ -278,11 +278,11 @@
     most_out: usize,
 }
 
-fn place(at: usize) -> Place {
-    Place(Ipv4Addr::from(0x0a00_0100 + at as u32))
+fn place(at: usize) -> NodeAddress {
+    NodeAddress(Ipv4Addr::from(0x0a00_0100 + at as u32))
 }
 
-fn gate_at(place: Place) -> usize {
+fn gate_at(place: NodeAddress) -> usize {
     (u32::from(place.0) - 0x0a00_0100) as usize
 }
 
@@ -310,7 +310,7 @@
         let tuning = Tuning::of_apply(APPLY);
         let gates = (0..plan.gateways)
             .map(|at| Gate {
-                life: Life(1),
+                life: RunId(1),
                 up: true,
                 taken: 0,
                 tables: [0, 0],
@@ -325,7 +325,7 @@
                 slow: plan.rough && random.rand_float() < 0.1,
                 liar: false,
                 cut: (0, 0),
-                ward: Ward::start(Life(1), tuning.clone(), 0),
+                ward: Ward::start(RunId(1), tuning.clone(), 0),
                 witness: Witness::start(place(at), tuning.clone(), plan.seed ^ (at as u64) << 8, 0),
                 accused: false,
                 withdrawn: false,
@@ -356,7 +356,7 @@
     }
 
     fn set(&mut self, gap: i64) {
-        let peers: Vec<Place> = (0..self.gates.len()).map(place).collect();
+        let peers: Vec<NodeAddress> = (0..self.gates.len()).map(place).collect();
         let first = self.texts[0].intent.clone();
         for at in 0..self.gates.len() {
             let claim = self.random.rand_range(0..CLAIM_EVERY as u64) as Micros;
@@ -426,7 +426,7 @@
     }
 
     /// A datagram between two places.
-    fn send(&mut self, from: Place, to: Place, mail: Mail) {
+    fn send(&mut self, from: NodeAddress, to: NodeAddress, mail: Mail) {
         self.bytes += mail.bytes();
         let lost = self.plan.rough && self.random.rand_float() < 0.05;
         let ends = [from, to].into_iter().filter(|end| *end != LEADER);
@@ -670,11 +670,11 @@
         let tuning = Tuning::of_apply(APPLY);
         let gate = &mut self.gates[at];
         let first = gate.kind == Some(Kind::OldRestart) && !gate.ill && gate.caught.is_none();
-        gate.life = Life(gate.life.0 + 1);
+        gate.life = RunId(gate.life.0 + 1);
         gate.ward = Ward::start(gate.life, tuning.clone(), self.now);
         gate.witness = Witness::start(place(at), tuning, self.now as u64, self.now);
         (gate.part, gate.twisted) = (None, false);
-        let peers: Vec<Place> = (0..self.gates.len()).map(place).collect();
+        let peers: Vec<NodeAddress> = (0..self.gates.len()).map(place).collect();
         self.witness(at, witness::Event::Peers(peers));
         let gate = &mut self.gates[at];
         if first {
@@ -694,7 +694,7 @@
         }
     }
 
-    fn mail(&mut self, from: Place, to: Place, mail: Mail) {
+    fn mail(&mut self, from: NodeAddress, to: NodeAddress, mail: Mail) {
         if to != LEADER && self.cut(gate_at(to)) {
             return;
         }
@@ -721,7 +721,7 @@
         }
     }
 
-    fn claimed(&mut self, from: Place, claim: Claim) {
+    fn claimed(&mut self, from: NodeAddress, claim: Claim) {
         let intent = &self.texts[self.today].intent;
         let wrong = match self.plan.way {
             Way::Whole => return self.judged(judge::Event::Claim { from, claim }),
@@ -734,7 +734,7 @@
         }
     }
 
-    fn answered(&mut self, from: Place, held: Held) {
+    fn answered(&mut self, from: NodeAddress, held: Held) {
         if self.plan.way == Way::Whole {
             return self.judged(judge::Event::Held { from, held });
         }
@@ -752,7 +752,7 @@
     }
 
     /// A baseline's only step: rebuild.
-    fn baseline(&mut self, of: Place) {
+    fn baseline(&mut self, of: NodeAddress) {
         let life = self.gates[gate_at(of)].life;
         let fence = Fence { term: Term(1), number: self.now as u64 };
         self.send(LEADER, of, Mail::Order(life, fence, Step::Rebuild { parts: 63 }));
--- a/crates/intent/src/inspector.rs
+++ b/crates/intent/src/inspector.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use types::{Life, Micros, Place, Term};
+use types::{Micros, NodeAddress, RunId, Term};
 
 use crate::judge::{self, Member, State, Why};
 use crate::parts::{Intent, Part};
@@ -17,7 +17,7 @@
     Lead(Option<Term>),
     Members(Vec<Member>),
     Word {
-        from: Place,
+        from: NodeAddress,
         word: Word,
     },
     /// The part of the fleet that may be missing at the load of this moment.
@@ -27,13 +27,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Send {
-        to: Place,
+        to: NodeAddress,
         word: Word,
     },
     /// For the log, the ring and the metrics.
     Changed {
-        place: Place,
-        life: Life,
+        place: NodeAddress,
+        life: RunId,
         part: Part,
         from: State,
         to: State,
--- a/crates/intent/src/judge.rs
+++ b/crates/intent/src/judge.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use types::{Index, Life, Micros, Place};
+use types::{LogIndex, Micros, NodeAddress, RunId};
 
 use crate::parts::{Intent, Part};
 use crate::witness::Report;
@@ -67,8 +67,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    pub place: Place,
-    pub life: Life,
+    pub place: NodeAddress,
+    pub life: RunId,
     /// Alike for the nodes of one zone.
     pub zone: u16,
 }
@@ -85,15 +85,15 @@
     /// All foyers that are up, without those suspected.
     Members(Vec<Member>),
     Claim {
-        from: Place,
+        from: NodeAddress,
         claim: Claim,
     },
     Held {
-        from: Place,
+        from: NodeAddress,
         held: Held,
     },
     Report {
-        from: Place,
+        from: NodeAddress,
         report: Report,
     },
 }
@@ -102,17 +102,17 @@
 pub enum Effect {
     /// Ask that node what it holds.
     Challenge {
-        to: Place,
+        to: NodeAddress,
         nonce: u64,
     },
     /// Ask `by` for its own opinion of `of`.
     Ask {
-        by: Place,
-        of: Place,
+        by: NodeAddress,
+        of: NodeAddress,
     },
     Changed {
-        place: Place,
-        life: Life,
+        place: NodeAddress,
+        life: RunId,
         part: Part,
         from: State,
         to: State,
@@ -124,7 +124,7 @@
 
 #[derive(Clone, Debug)]
 struct Opinion {
-    by: Place,
+    by: NodeAddress,
     /// Page's statistic, for an older intent and for none that is known, in nats; never under 0.
     against: [f64; 2],
     /// The same the other way round: today's intent was shown.
@@ -142,7 +142,7 @@
 
 #[derive(Clone, Debug)]
 struct Node {
-    life: Life,
+    life: RunId,
     zone: u16,
     heard: Micros,
     /// In touch without a break since.
@@ -165,8 +165,8 @@
     sure: bool,
     intent: Option<Arc<Intent>>,
     committed: Micros,
-    past: VecDeque<(Index, crate::Digest)>,
-    nodes: BTreeMap<Place, Node>,
+    past: VecDeque<(LogIndex, crate::Digest)>,
+    nodes: BTreeMap<NodeAddress, Node>,
     last: Micros,
     doubt_since: Option<Micros>,
     doubt_told: bool,
@@ -195,11 +195,11 @@
         if self.sure { self.last + self.tuning.apply / 20 } else { Micros::MAX }
     }
 
-    pub fn state(&self, place: Place, part: Part) -> State {
+    pub fn state(&self, place: NodeAddress, part: Part) -> State {
         self.nodes.get(&place).map_or(State::Unknown, |node| node.parts[part as usize].state)
     }
 
-    pub fn zone(&self, place: Place) -> Option<u16> {
+    pub fn zone(&self, place: NodeAddress) -> Option<u16> {
         self.nodes.get(&place).map(|node| node.zone)
     }
 
@@ -246,7 +246,7 @@
         self.past.truncate(PAST_MAX);
         self.committed = now;
         self.intent = Some(intent);
-        let places: Vec<Place> = self.nodes.keys().copied().collect();
+        let places: Vec<NodeAddress> = self.nodes.keys().copied().collect();
         for place in places {
             if let Some(node) = self.nodes.get_mut(&place) {
                 (node.nonce, node.asks) = (None, 0);
@@ -268,7 +268,7 @@
     }
 
     /// A part that changed is looked at anew; one that is accused stays so until it has shown today's.
-    fn begin(&mut self, place: Place, part: Part) {
+    fn begin(&mut self, place: NodeAddress, part: Part) {
         let Some(standing) = self.standing(place, part) else { return };
         standing.confessed = 0;
         standing.held = false;
@@ -289,7 +289,7 @@
     fn anew(&mut self, now: Micros) {
         self.committed = self.committed.max(now);
         self.doubt_since = None;
-        let places: Vec<Place> = self.nodes.keys().copied().collect();
+        let places: Vec<NodeAddress> = self.nodes.keys().copied().collect();
         for place in places {
             if let Some(node) = self.nodes.get_mut(&place) {
                 (node.touch, node.heard, node.nonce, node.began) = (now, now, None, false);
@@ -299,7 +299,7 @@
         }
     }
 
-    fn unknown(&mut self, place: Place, why: Why) {
+    fn unknown(&mut self, place: NodeAddress, why: Why) {
         for part in Part::ALL {
             if let Some(standing) = self.standing(place, part) {
                 standing.opinions.clear();
@@ -314,8 +314,9 @@
     }
 
     fn members(&mut self, now: Micros, members: Vec<Member>) {
-        let there: BTreeSet<Place> = members.iter().map(|member| member.place).collect();
-        let gone: Vec<Place> = self.nodes.keys().copied().filter(|place| !there.contains(place)).collect();
+        let there: BTreeSet<NodeAddress> = members.iter().map(|member| member.place).collect();
+        let gone: Vec<NodeAddress> =
+            self.nodes.keys().copied().filter(|place| !there.contains(place)).collect();
         for place in gone {
             self.unknown(place, Why::Silent);
             self.nodes.remove(&place);
@@ -351,7 +352,7 @@
         }
     }
 
-    fn claim(&mut self, now: Micros, from: Place, claim: Claim) {
+    fn claim(&mut self, now: Micros, from: NodeAddress, claim: Claim) {
         let silence = self.tuning.silence;
         let Some(node) = self.nodes.get_mut(&from).filter(|node| node.life == claim.life) else { return };
         if now - node.heard > silence {
@@ -364,7 +365,7 @@
 
     /// What a node's own words do: behind, or today's once it holds it too. They accuse nobody, and they take
     /// back no accusation.
-    fn words(&mut self, now: Micros, place: Place) {
+    fn words(&mut self, now: Micros, place: NodeAddress) {
         let (Some(intent), Some(node)) = (&self.intent, self.nodes.get_mut(&place)) else { return };
         let Some(claim) = node.claim.filter(|_| self.sure) else { return };
         let today = claim.index == intent.index && claim.root == intent.digest.root();
@@ -392,7 +393,7 @@
         }
     }
 
-    fn held(&mut self, now: Micros, from: Place, held: &Held) {
+    fn held(&mut self, now: Micros, from: NodeAddress, held: &Held) {
         let (Some(intent), Some(node)) = (self.intent.clone(), self.nodes.get_mut(&from)) else { return };
         let Some((nonce, asked)) = node.nonce else { return };
         if !self.sure || node.life != held.life || nonce != held.nonce || held.index > intent.index {
@@ -434,7 +435,7 @@
         self.back_in(from);
     }
 
-    fn report(&mut self, now: Micros, from: Place, report: &Report) {
+    fn report(&mut self, now: Micros, from: NodeAddress, report: &Report) {
         if let Some(node) = self.nodes.get_mut(&from) {
             // A report names no life of its own, so it only keeps a silence from beginning.
             if now - node.heard <= self.tuning.silence {
@@ -466,7 +467,7 @@
         }
     }
 
-    fn opinion(&mut self, by: Place, of: Place, part: Part, nats: [f64; 2]) {
+    fn opinion(&mut self, by: NodeAddress, of: NodeAddress, part: Part, nats: [f64; 2]) {
         let cap = self.tuning.cap;
         let Some(standing) = self.standing(of, part) else { return };
         let at = match standing.opinions.iter().position(|opinion| opinion.by == by) {
@@ -487,7 +488,7 @@
     }
 
     /// Judges a part by what was seen of it, or asks others where that is too little.
-    fn weigh(&mut self, now: Micros, of: Place, part: Part) {
+    fn weigh(&mut self, now: Micros, of: NodeAddress, part: Part) {
         let tuning = self.tuning.clone();
         let others = self.nodes.len().saturating_sub(1);
         let Some(standing) = self.standing(of, part).filter(|standing| !standing.state.accused()) else {
@@ -512,11 +513,11 @@
     }
 
     /// Others are asked to look for themselves, chosen by chance, not by who spoke first.
-    fn second_opinions(&mut self, now: Micros, of: Place) {
+    fn second_opinions(&mut self, now: Micros, of: NodeAddress) {
         // Those that are accused themselves have no voice.
         let heard = |node: &Node| !node.parts.iter().any(|part| part.state.accused());
         let voices = self.nodes.iter().filter(|(place, node)| **place != of && heard(node));
-        let places: Vec<Place> = voices.map(|(place, _)| *place).collect();
+        let places: Vec<NodeAddress> = voices.map(|(place, _)| *place).collect();
         let Some(node) = self.nodes.get_mut(&of) else { return };
         // A liar may keep others busy for so many looks after each change, and no longer.
         let accused = node.parts.iter().any(|part| part.state.accused());
@@ -525,9 +526,10 @@
             return;
         }
         (node.asked, node.asks) = (Some(now), node.asks.saturating_add(1));
-        let known: BTreeSet<Place> =
+        let known: BTreeSet<NodeAddress> =
             node.parts.iter().flat_map(|part| &part.opinions).map(|one| one.by).collect();
-        let mut fresh: Vec<Place> = places.iter().copied().filter(|place| !known.contains(place)).collect();
+        let mut fresh: Vec<NodeAddress> =
+            places.iter().copied().filter(|place| !known.contains(place)).collect();
         if fresh.is_empty() {
             fresh = places;
         }
@@ -543,7 +545,7 @@
     /// An accused node is cleared part by part: it holds today's by a fresh answer, and two witnesses at
     /// least
     /// have seen it on traffic.
-    fn back_in(&mut self, place: Place) {
+    fn back_in(&mut self, place: NodeAddress) {
         let (height, noise) = (self.tuning.shown, 1.0);
         for part in Part::ALL {
             let Some(standing) = self.standing(place, part) else { return };
@@ -568,7 +570,7 @@
     }
 
     /// A node under repair starts its record anew: what it did before the repair is not held against it.
-    pub fn repaired(&mut self, now: Micros, place: Place) {
+    pub fn repaired(&mut self, now: Micros, place: NodeAddress) {
         for part in Part::ALL {
             if let Some(standing) = self.standing(place, part) {
                 standing.opinions.clear();
@@ -584,7 +586,7 @@
         if !self.sure {
             return;
         }
-        let places: Vec<Place> = self.nodes.keys().copied().collect();
+        let places: Vec<NodeAddress> = self.nodes.keys().copied().collect();
         let unseen_from = self.committed + self.tuning.settle + self.tuning.apply / 5;
         for place in places {
             let Some(node) = self.nodes.get_mut(&place) else { continue };
@@ -629,18 +631,18 @@
         let since = *self.doubt_since.get_or_insert(now);
         if now - since >= self.tuning.settle && !self.doubt_told {
             self.doubt_told = true;
-            let places: Vec<Place> = self.nodes.keys().copied().collect();
+            let places: Vec<NodeAddress> = self.nodes.keys().copied().collect();
             places.into_iter().for_each(|place| self.unknown(place, Why::Unsure));
             self.out.push(Effect::OwnDoubt);
         }
     }
 
-    fn standing(&mut self, place: Place, part: Part) -> Option<&mut Standing> {
+    fn standing(&mut self, place: NodeAddress, part: Part) -> Option<&mut Standing> {
         self.nodes.get_mut(&place).map(|node| &mut node.parts[part as usize])
     }
 
     /// The only place where a state changes.
-    fn turn(&mut self, place: Place, part: Part, to: State, why: Why) {
+    fn turn(&mut self, place: NodeAddress, part: Part, to: State, why: Why) {
         let doubted = self.doubt_told && to.accused();
         let Some(node) = self.nodes.get_mut(&place).filter(|_| !doubted) else { return };
         let (life, standing) = (node.life, &mut node.parts[part as usize]);
--- a/crates/intent/src/lib.rs
+++ b/crates/intent/src/lib.rs
@@ -17,7 +17,7 @@
 pub use parts::{Act, Digest, Intent, Part, RouteKey, ServiceKey, Took};
 pub use remedy::{Fence, Remedy, Step};
 use serde::{Deserialize, Serialize};
-use types::{Index, Life, Micros, Place};
+use types::{LogIndex, Micros, NodeAddress, RunId};
 pub use usher::Usher;
 pub use ward::Ward;
 pub use witness::{Report, Witness};
@@ -28,8 +28,8 @@
 /// What a node says of itself, unasked: with the probes that run anyway, and at once after a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    pub life: Life,
-    pub index: Index,
+    pub life: RunId,
+    pub index: LogIndex,
     /// `Digest::root` of what it holds to be in force.
     pub root: u64,
 }
@@ -38,9 +38,9 @@
 /// answer that was prepared, kept or copied before the question can't fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    pub life: Life,
+    pub life: RunId,
     pub nonce: u64,
-    pub index: Index,
+    pub index: LogIndex,
     pub sums: [u32; Part::COUNT],
 }
 
@@ -56,10 +56,10 @@
     },
     /// Look at that one, and tell.
     Ask {
-        of: Place,
+        of: NodeAddress,
     },
     Order {
-        life: Life,
+        life: RunId,
         fence: Fence,
         step: Step,
     },
--- a/crates/intent/src/parts.rs
+++ b/crates/intent/src/parts.rs
@@ -5,7 +5,7 @@
 use configuration::{Bill, Kind, Route};
 use control_state::Rollout;
 use serde::{Deserialize, Serialize};
-use types::Index;
+use types::LogIndex;
 
 use crate::mix;
 
@@ -211,7 +211,7 @@
 /// One ordered intent: what all nodes in touch have to do once it is committed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Intent {
-    pub index: Index,
+    pub index: LogIndex,
     pub digest: Digest,
     /// Sorted by key.
     rows: Vec<Row>,
@@ -221,7 +221,7 @@
     /// Reads an intent back from a bill and the roll-outs. For `Held` it must be handed those that the
     /// traffic
     /// uses at that moment, not those that were received.
-    pub fn read<'a>(index: Index, bill: &Bill, rollouts: impl Iterator<Item = &'a Rollout>) -> Intent {
+    pub fn read<'a>(index: LogIndex, bill: &Bill, rollouts: impl Iterator<Item = &'a Rollout>) -> Intent {
         let routes = bill.routes.values();
         let mut rows: Vec<Row> =
             routes.map(|route| Row::of(RouteKey::of(&route.host, &route.prefix), route)).collect();
--- a/crates/intent/src/remedy.rs
+++ b/crates/intent/src/remedy.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
-use types::{Index, Life, Micros, Place, SECOND, Term};
+use types::{LogIndex, Micros, NodeAddress, RunId, SECOND, Term};
 
 use crate::Tuning;
 use crate::judge::{State, Why};
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Step {
     /// You lack this; ask for it again. Nobody is let in before it holds this.
-    Resend { index: Index, root: u64 },
+    Resend { index: LogIndex, root: u64 },
     /// Make all tables new from the ordered text; `parts` has a bit for each part that is wrong. Requests on
     /// routes that changed lately in those parts are turned back (not run, come again) until `Admit`, or the
     /// lease ends.
@@ -47,8 +47,8 @@
 /// One line of the book: what was done to whom and why.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Note {
-    pub place: Place,
-    pub life: Life,
+    pub place: NodeAddress,
+    pub life: RunId,
     pub step: Step,
     /// The worst part, its state and its reason, when the step was taken.
     pub part: Part,
@@ -61,8 +61,8 @@
     Tick,
     /// From the judge.
     Changed {
-        place: Place,
-        life: Life,
+        place: NodeAddress,
+        life: RunId,
         part: Part,
         to: State,
         why: Why,
@@ -73,7 +73,7 @@
     Lead(Option<Term>),
     /// What is to be in force.
     Today {
-        index: Index,
+        index: LogIndex,
         root: u64,
     },
     /// The part of the fleet that may be missing at the load of this moment.
@@ -85,14 +85,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Order {
-        to: Place,
-        life: Life,
+        to: NodeAddress,
+        life: RunId,
         fence: Fence,
         step: Step,
     },
     Write(Note),
     /// The judge begins that node's record anew (`Judge::repaired`).
-    Repaired(Place),
+    Repaired(NodeAddress),
 }
 
 /// How far the repair of a node has come.
@@ -109,7 +109,7 @@
 
 #[derive(Clone, Debug)]
 struct Patient {
-    life: Life,
+    life: RunId,
     zone: u16,
     stage: Stage,
     since: Micros,
@@ -124,18 +124,18 @@
     tuning: Tuning,
     term: Option<Term>,
     number: u64,
-    today: (Index, u64),
+    today: (LogIndex, u64),
     since: Micros,
     spare: f64,
     doubt: bool,
-    nodes: BTreeMap<Place, Patient>,
+    nodes: BTreeMap<NodeAddress, Patient>,
     out: Vec<Effect>,
     orders: usize,
 }
 
 impl Remedy {
     pub fn start(tuning: Tuning) -> Remedy {
-        let (today, spare, nodes) = ((Index(0), 0), OUT_SHARE, BTreeMap::new());
+        let (today, spare, nodes) = ((LogIndex(0), 0), OUT_SHARE, BTreeMap::new());
         Remedy {
             tuning,
             term: None,
@@ -155,7 +155,7 @@
         2 * tuning.apply
     }
 
-    pub fn stage(&self, place: Place) -> Option<Stage> {
+    pub fn stage(&self, place: NodeAddress) -> Option<Stage> {
         self.nodes.get(&place).map(|node| node.stage)
     }
 
@@ -202,7 +202,7 @@
     }
 
     fn members(&mut self, now: Micros, members: Vec<crate::judge::Member>) {
-        let there: BTreeSet<Place> = members.iter().map(|member| member.place).collect();
+        let there: BTreeSet<NodeAddress> = members.iter().map(|member| member.place).collect();
         self.nodes.retain(|place, _| there.contains(place));
         for member in members.into_iter().take(crate::NODES_MAX) {
             let known = self.nodes.get(&member.place);
@@ -236,11 +236,11 @@
 
     fn tick(&mut self, now: Micros) {
         self.orders = 0;
-        let places: Vec<Place> = self.nodes.keys().copied().collect();
+        let places: Vec<NodeAddress> = self.nodes.keys().copied().collect();
         places.into_iter().for_each(|place| self.treat(now, place));
     }
 
-    fn treat(&mut self, now: Micros, place: Place) {
+    fn treat(&mut self, now: Micros, place: NodeAddress) {
         let tuning = self.tuning.clone();
         let Some(node) = self.nodes.get(&place).filter(|_| self.term.is_some()) else { return };
         let (stage, spent, life) = (node.stage, now - node.since, node.life);
@@ -293,7 +293,7 @@
         }
     }
 
-    fn resend(&mut self, now: Micros, place: Place, life: Life) {
+    fn resend(&mut self, now: Micros, place: NodeAddress, life: RunId) {
         let (index, root) = self.today;
         let again = self.tuning.apply / 10;
         let Some(node) = self.nodes.get_mut(&place).filter(|node| node.life == life) else { return };
@@ -314,7 +314,7 @@
 
     /// Whether one more of its zone may go: never over the spare share of the fleet, nor half of a zone (from
     /// there on the platform uses all of them anyway), nor one of fewer than three.
-    fn room(&self, place: Place) -> bool {
+    fn room(&self, place: NodeAddress) -> bool {
         let Some(zone) = self.nodes.get(&place).map(|node| node.zone) else { return false };
         let all = self.nodes.len();
         let here = self.nodes.values().filter(|node| node.zone == zone);
@@ -327,7 +327,7 @@
     }
 
     /// The only place where a stage changes.
-    fn turn(&mut self, now: Micros, place: Place, to: Stage, step: Option<Step>) {
+    fn turn(&mut self, now: Micros, place: NodeAddress, to: Stage, step: Option<Step>) {
         if let Some(node) = self.nodes.get_mut(&place) {
             (node.stage, node.since) = (to, now);
         }
@@ -336,7 +336,7 @@
         }
     }
 
-    fn order(&mut self, now: Micros, place: Place, step: Step) {
+    fn order(&mut self, now: Micros, place: NodeAddress, step: Step) {
         let (Some(term), Some(node)) = (self.term, self.nodes.get_mut(&place)) else { return };
         // A lost order is given again by its renewal or by the next stage.
         if self.orders >= ORDERS_MAX && matches!(step, Step::Resend { .. }) {
--- a/crates/intent/src/usher.rs
+++ b/crates/intent/src/usher.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use types::{Index, Life, Micros, Place, SECOND};
+use types::{LogIndex, Micros, NodeAddress, RunId, SECOND};
 
 use crate::parts::{Act, Intent, RouteKey, Took};
 use crate::{Claim, Held, Tuning, Ward, Witness, Word, ward, witness};
@@ -23,31 +23,31 @@
     Tables(Arc<Intent>),
     /// The same, read back at this moment for an asker.
     ReadBack {
-        to: Place,
+        to: NodeAddress,
         nonce: u64,
         tables: Arc<Intent>,
     },
     Word {
-        from: Place,
+        from: NodeAddress,
         word: Word,
     },
     /// Foyers that are up, this one too; and prompters.
     Peers {
-        foyers: Vec<Place>,
-        hubs: Vec<Place>,
+        foyers: Vec<NodeAddress>,
+        hubs: Vec<NodeAddress>,
     },
     /// A look came back. `since`: when it was sent.
     Saw {
-        of: Place,
-        life: Life,
-        said: Index,
+        of: NodeAddress,
+        life: RunId,
+        said: LogIndex,
         since: Micros,
         route: RouteKey,
         took: Option<Took>,
     },
     Glimpse {
-        of: Place,
-        life: Life,
+        of: NodeAddress,
+        life: RunId,
         since: Micros,
         route: RouteKey,
         act: Act,
@@ -57,34 +57,34 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Send {
-        to: Place,
+        to: NodeAddress,
         word: Word,
     },
     /// Read the tables that the traffic uses, and answer with `ReadBack`.
     ReadBack {
-        to: Place,
+        to: NodeAddress,
         nonce: u64,
     },
     /// One harmless probe for each route, over one new connection to that foyer's clients' address.
     Look {
-        of: Place,
+        of: NodeAddress,
         routes: Vec<RouteKey>,
     },
     Ward(ward::Effect),
 }
 
 pub struct Usher {
-    life: Life,
+    life: RunId,
     pub ward: Ward,
     witness: Witness,
     tables: Option<Arc<Intent>>,
-    hubs: Vec<Place>,
-    leader: Option<(Place, Micros)>,
+    hubs: Vec<NodeAddress>,
+    leader: Option<(NodeAddress, Micros)>,
     claim_due: Micros,
 }
 
 impl Usher {
-    pub fn start(own: Place, life: Life, tuning: Tuning, seed: u64, now: Micros) -> Usher {
+    pub fn start(own: NodeAddress, life: RunId, tuning: Tuning, seed: u64, now: Micros) -> Usher {
         let ward = Ward::start(life, tuning.clone(), now);
         let witness = Witness::start(own, tuning, seed, now);
         // Claims of a fleet that starts at one moment are spread over their span.
@@ -133,7 +133,7 @@
         effects
     }
 
-    fn word(&mut self, now: Micros, from: Place, word: Word, effects: &mut Vec<Effect>) {
+    fn word(&mut self, now: Micros, from: NodeAddress, word: Word, effects: &mut Vec<Effect>) {
         if !self.hubs.contains(&from) {
             return;
         }
--- a/crates/intent/src/ward.rs
+++ b/crates/intent/src/ward.rs
@@ -1,7 +1,7 @@
 //! Ward (at each node): takes a leader's orders, obeys each once, and says whether clients may come. It fails
 //! open: without a leader nobody is kept out for longer than a lease.
 
-use types::{Index, Life, Micros};
+use types::{LogIndex, Micros, RunId};
 
 use crate::Tuning;
 use crate::parts::Part;
@@ -15,13 +15,13 @@
     Tick,
     /// An order for a life of this place.
     Order {
-        life: Life,
+        life: RunId,
         fence: Fence,
         step: Step,
     },
     /// What the tables hold, read back after each change of them.
     Holds {
-        index: Index,
+        index: LogIndex,
         root: u64,
     },
 }
@@ -51,20 +51,28 @@
 }
 
 pub struct Ward {
-    life: Life,
+    life: RunId,
     tuning: Tuning,
     fence: Fence,
     door: Door,
-    holds: (Index, u64),
-    wanted: Option<(Index, u64)>,
+    holds: (LogIndex, u64),
+    wanted: Option<(LogIndex, u64)>,
     /// Parts in doubt, and until when.
     back: Option<(u8, Micros)>,
 }
 
 impl Ward {
-    pub fn start(life: Life, tuning: Tuning, now: Micros) -> Ward {
+    pub fn start(life: RunId, tuning: Tuning, now: Micros) -> Ward {
         let door = Door::Entering { until: now + tuning.apply / GATE_PARTS };
-        Ward { life, tuning, fence: Fence::default(), door, holds: (Index(0), 0), wanted: None, back: None }
+        Ward {
+            life,
+            tuning,
+            fence: Fence::default(),
+            door,
+            holds: (LogIndex(0), 0),
+            wanted: None,
+            back: None,
+        }
     }
 
     /// Whether new clients may come.
--- a/crates/intent/src/witness.rs
+++ b/crates/intent/src/witness.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-use types::{Index, Life, Micros, Place};
+use types::{LogIndex, Micros, NodeAddress, RunId};
 
 use crate::parts::{Act, Intent, Part, RouteKey, Row, Took};
 use crate::{NODES_MAX, Tuning, mix};
@@ -25,29 +25,29 @@
     /// This node has applied an intent; older ones are not taken.
     Applied(Arc<Intent>),
     /// All foyers that are up, this one too, alike at all nodes that know the same.
-    Peers(Vec<Place>),
+    Peers(Vec<NodeAddress>),
     /// A look, or a client's request, was handled. `since`: when it was sent, by this node's clock. `said`:
     /// the
     /// index that the node told with it, if any; `life`: which life of it.
     Saw {
-        of: Place,
-        life: Life,
-        said: Option<Index>,
+        of: NodeAddress,
+        life: RunId,
+        said: Option<LogIndex>,
         since: Micros,
         route: RouteKey,
         took: Option<Took>,
     },
     /// The same where only one effect is seen: the service of an instance, or who went first.
     Glimpse {
-        of: Place,
-        life: Life,
+        of: NodeAddress,
+        life: RunId,
         since: Micros,
         route: RouteKey,
         act: Act,
     },
     /// The judge wants this node's own opinion of one.
     Asked {
-        of: Place,
+        of: NodeAddress,
     },
 }
 
@@ -56,7 +56,7 @@
     /// To the leader.
     Tell(Report),
     /// Send one harmless probe for each route to that node's clients' address, over one new connection.
-    Look { of: Place, routes: Vec<RouteKey> },
+    Look { of: NodeAddress, routes: Vec<RouteKey> },
 }
 
 /// Likelihoods of what was seen of one part of one node since the last report: the log of (some of its
@@ -71,41 +71,41 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sight {
-    pub of: Place,
-    pub life: Life,
+    pub of: NodeAddress,
+    pub life: RunId,
     pub weights: Vec<Weight>,
 }
 
 /// Judged under this intent; the judge counts no other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    pub index: Index,
+    pub index: LogIndex,
     pub root: u64,
     pub sights: Vec<Sight>,
 }
 
 #[derive(Clone, Debug)]
 struct Kept {
-    life: Life,
+    life: RunId,
     sums: [[f64; 2]; Part::COUNT],
 }
 
 pub struct Witness {
-    own: Place,
+    own: NodeAddress,
     tuning: Tuning,
     random: oorandom::Rand64,
     intent: Option<Arc<Intent>>,
     applied: Micros,
     past: VecDeque<Vec<(RouteKey, Option<Row>)>>,
-    peers: Vec<Place>,
-    looks: VecDeque<(Micros, Place)>,
+    peers: Vec<NodeAddress>,
+    looks: VecDeque<(Micros, NodeAddress)>,
     calm_due: Micros,
-    kept: BTreeMap<Place, Kept>,
+    kept: BTreeMap<NodeAddress, Kept>,
     tell_due: Micros,
 }
 
 impl Witness {
-    pub fn start(own: Place, tuning: Tuning, seed: u64, now: Micros) -> Witness {
+    pub fn start(own: NodeAddress, tuning: Tuning, seed: u64, now: Micros) -> Witness {
         let random = oorandom::Rand64::new(seed.into());
         let (past, looks, kept) = (VecDeque::new(), VecDeque::new(), BTreeMap::new());
         let (calm_due, tell_due) = (now + tuning.calm, now);
@@ -187,7 +187,7 @@
     /// Whom this node looks at after this change: a few steps along the ring of places, alike for all, so
     /// that
     /// each node has as many witnesses, and others after each change.
-    fn neighbours(&self) -> Vec<Place> {
+    fn neighbours(&self) -> Vec<NodeAddress> {
         let Ok(at) = self.peers.binary_search(&self.own) else { return Vec::new() };
         let (count, index) = (self.peers.len(), self.intent.as_ref().map_or(0, |intent| intent.index.0));
         let mut steps: Vec<usize> = Vec::new();
@@ -203,7 +203,7 @@
         steps.into_iter().map(|step| self.peers[(at + step) % count]).collect()
     }
 
-    fn plan(&mut self, at: Micros, of: Place) {
+    fn plan(&mut self, at: Micros, of: NodeAddress) {
         if of != self.own && self.looks.len() < LOOKS_MAX {
             let place = self.looks.partition_point(|(due, _)| *due <= at);
             self.looks.insert(place, (at, of));
@@ -248,7 +248,7 @@
 
     /// Adds what one effect says; whether it speaks against its node.
     fn weigh(
-        &mut self, now: Micros, of: Place, life: Life, since: Micros, route: RouteKey, act: Act,
+        &mut self, now: Micros, of: NodeAddress, life: RunId, since: Micros, route: RouteKey, act: Act,
     ) -> bool {
         let Some(intent) = &self.intent else { return false };
         if since < self.ripe() || since > now || of == self.own {
--- a/crates/load/src/share.rs
+++ b/crates/load/src/share.rs
@@ -1,7 +1,7 @@
 //! Shares of the instances: which gateways may hold connections to which instances, where there are not enough for
 //! all. Every gateway works it out alike, from the list of gateways; no messages.
 
-use types::Place;
+use types::NodeAddress;
 
 /// Of the connections that an instance accepts, what gateways use: the rest is for lists that differ between
 /// gateways for a moment, for machines that lost power and for what instances refuse while their queue is long.
@@ -24,7 +24,7 @@
 
     /// How many gateways come before `own` at an instance, as [`Share::usable`] takes it. Where every gateway
     /// may use every instance the order does not matter, and 0 saves ranking all gateways at each instance.
-    pub fn before(&self, own: Place, gateways: &[Place], instance: &str) -> usize {
+    pub fn before(&self, own: NodeAddress, gateways: &[NodeAddress], instance: &str) -> usize {
         if gateways.len() <= self.gateways { 0 } else { before(own, gateways, instance) }
     }
 
@@ -45,9 +45,9 @@
 
 /// How many gateways come before `own` at an instance: those that a hash of both names ranks higher. A gateway
 /// more or less moves only its own places.
-pub fn before(own: Place, gateways: &[Place], instance: &str) -> usize {
+pub fn before(own: NodeAddress, gateways: &[NodeAddress], instance: &str) -> usize {
     let named = fold(START, instance.as_bytes());
-    let rank = |place: Place| (mix(named, place), place);
+    let rank = |place: NodeAddress| (mix(named, place), place);
     let first = rank(own);
     gateways.iter().filter(|place| rank(**place) > first).count()
 }
@@ -61,7 +61,7 @@
 }
 
 /// FNV-1a over both names, `named` that of the instance.
-fn mix(named: u64, place: Place) -> u64 {
+fn mix(named: u64, place: NodeAddress) -> u64 {
     stir(fold(named, &place.0.octets()))
 }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,7 +11,7 @@
 pub use node::Company;
 use serde::{Deserialize, Serialize};
 pub use timing::Timing;
-use types::{Edition, Life, Place};
+use types::{NodeAddress, NodeVersion, RunId};
 
 /// Members known at once; the dead and gone make room first, then newcomers are not taken in.
 pub const MEMBERS_MAX: usize = 512;
@@ -32,12 +32,12 @@
 /// One life of a node, as it tells of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    pub place: Place,
-    pub life: Life,
+    pub place: NodeAddress,
+    pub life: RunId,
     pub part: Part,
     pub zone: String,
     pub name: String,
-    pub edition: Edition,
+    pub edition: NodeVersion,
 }
 
 /// What is held of a member. `Dead` is withdrawn when the member refutes it; `Left` is final for a life.
@@ -82,7 +82,7 @@
 /// A message: who speaks, what for, and news that ride along.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    pub life: Life,
+    pub life: RunId,
     pub incarnation: Incarnation,
     pub talk: Talk,
     pub news: Vec<Rumor>,
@@ -96,15 +96,15 @@
     /// Nothing but the news.
     News,
     /// Are you there? `life` is whom the sender expects.
-    Probe { life: Life, number: Number },
+    Probe { life: RunId, number: Number },
     /// Yes. `sum` is the digest of all living members known there.
     Answer { number: Number, sum: u32 },
     /// Second opinion: probe that one for me.
-    AskFor { place: Place, number: Number },
+    AskFor { place: NodeAddress, number: Number },
     /// It answered me.
-    Vouch { place: Place, number: Number },
+    Vouch { place: NodeAddress, number: Number },
     /// It did not answer me either (so the silence is not the asker's own).
-    Doubt { place: Place, number: Number },
+    Doubt { place: NodeAddress, number: Number },
     /// I don't know your life: tell your name.
     Who,
     /// Digests of the living members by ranges of places; where they differ, the members are told.
@@ -115,12 +115,12 @@
 pub enum Event {
     Tick,
     Received {
-        from: Place,
+        from: NodeAddress,
         message: Message,
     },
     /// Places that may know others; asked while too few are known, and now and then to heal a split.
     Seeds {
-        places: Vec<Place>,
+        places: Vec<NodeAddress>,
     },
     /// This node ends in order. Nothing is answered or sent afterwards.
     Leave,
@@ -128,6 +128,6 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    Send { to: Place, message: Message },
+    Send { to: NodeAddress, message: Message },
     Changed { member: Member, standing: Standing },
 }
--- a/crates/membership/src/news.rs
+++ b/crates/membership/src/news.rs
@@ -1,6 +1,6 @@
 //! News (gossip queue): which places there is news about, and how often it was told.
 
-use types::Place;
+use types::NodeAddress;
 
 /// What the current word on a place is gets looked up when it is sent, so that only the newest is told.
 #[derive(Debug, Default)]
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Item {
-    about: Place,
+    about: NodeAddress,
     sent: u32,
 }
 
@@ -20,13 +20,13 @@
     }
 
     /// There is something new about a place, to be told from the first time again.
-    pub fn tell(&mut self, about: Place) {
+    pub fn tell(&mut self, about: NodeAddress) {
         self.items.retain(|item| item.about != about);
         self.items.insert(0, Item { about, sent: 0 });
     }
 
     /// The places to tell of, least told first.
-    pub fn places(&self) -> impl Iterator<Item = Place> {
+    pub fn places(&self) -> impl Iterator<Item = NodeAddress> {
         self.items.iter().map(|item| item.about)
     }
 
