--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,7 +1,7 @@
 //! One node's membership: explicit states, and one function for each change of state.
 
 use oorandom::Rand64;
-use types::{Life, MS, Micros, Place};
+use types::{MS, Micros, NodeAddress, RunId};
 
 use crate::news::News;
 use crate::roster::{Peer, Roster, Worth, digest_of, mix, range_of, weigh};
@@ -31,8 +31,8 @@
 /// The probe that is out.
 #[derive(Debug)]
 struct Probe {
-    place: Place,
-    life: Life,
+    place: NodeAddress,
+    life: RunId,
     number: Number,
     stage: ProbeStage,
     /// When the stage ends.
@@ -50,9 +50,9 @@
 /// A second opinion in work for another node.
 #[derive(Debug)]
 struct Helping {
-    asker: Place,
+    asker: NodeAddress,
     theirs: Number,
-    place: Place,
+    place: NodeAddress,
     ours: Number,
     until: Micros,
 }
@@ -71,11 +71,11 @@
     stage: Stage,
     timing: Timing,
     rand: Rand64,
-    seeds: Vec<Place>,
+    seeds: Vec<NodeAddress>,
     roster: Roster,
     news: News,
     /// Places to probe in this round, the next one last.
-    round: Vec<Place>,
+    round: Vec<NodeAddress>,
     probe: Option<Probe>,
     helping: Vec<Helping>,
     last_number: u32,
@@ -94,7 +94,7 @@
     /// Starts a life: it is told to all seeds at once. `seed` is for chance, `now` and all times are of a steady
     /// clock in microseconds.
     pub fn start(
-        own: Member, seeds: Vec<Place>, timing: Timing, seed: u64, now: Micros,
+        own: Member, seeds: Vec<NodeAddress>, timing: Timing, seed: u64, now: Micros,
     ) -> (Company, Vec<Effect>) {
         let mut own = own;
         cut(&mut own.zone);
@@ -174,12 +174,12 @@
     }
 
     /// Since when a node stands as it does, by the clock of the events; `None` for one that is not known.
-    pub fn since(&self, place: Place) -> Option<Micros> {
+    pub fn since(&self, place: NodeAddress) -> Option<Micros> {
         self.roster.get(place).map(|peer| peer.since)
     }
 
     /// What is known of the node at a place, whatever its standing; none of this node itself.
-    pub fn member(&self, place: Place) -> Option<&Member> {
+    pub fn member(&self, place: NodeAddress) -> Option<&Member> {
         self.roster.get(place).map(|peer| &peer.member)
     }
 
@@ -257,9 +257,9 @@
 
     // ---- seeds ----
 
-    fn seeds_told(&mut self, places: Vec<Place>) {
+    fn seeds_told(&mut self, places: Vec<NodeAddress>) {
         let own = self.own.place;
-        let mut places: Vec<Place> = places.into_iter().filter(|place| *place != own).collect();
+        let mut places: Vec<NodeAddress> = places.into_iter().filter(|place| *place != own).collect();
         places.truncate(SEEDS_MAX);
         if places != self.seeds {
             self.seeds = places;
@@ -270,7 +270,7 @@
     fn ask_seeds(&mut self, out: &mut Vec<Effect>) {
         let alone = self.up(Part::Prompter).next().is_none();
         let unknown = self.seeds.iter().copied().filter(|seed| !self.roster.is_up(*seed));
-        let mut unknown: Vec<Place> = unknown.collect();
+        let mut unknown: Vec<NodeAddress> = unknown.collect();
         if !alone && !unknown.is_empty() {
             let one = self.below(unknown.len());
             unknown = vec![unknown[one]];
@@ -301,7 +301,7 @@
     }
 
     /// Each living member once, in an order by chance; then a new order.
-    fn next_of_round(&mut self) -> Option<Place> {
+    fn next_of_round(&mut self) -> Option<NodeAddress> {
         while let Some(place) = self.round.pop() {
             if self.roster.is_up(place) {
                 return Some(place);
@@ -359,7 +359,8 @@
     /// One of the dead, by chance, hears that it is held dead: after a cut both sides find each other so.
     fn try_the_dead(&mut self, out: &mut Vec<Effect>) {
         let dead = self.roster.iter().filter(|peer| peer.standing == Standing::Dead);
-        let dead: Vec<(Place, Life)> = dead.map(|peer| (peer.member.place, peer.member.life)).collect();
+        let dead: Vec<(NodeAddress, RunId)> =
+            dead.map(|peer| (peer.member.place, peer.member.life)).collect();
         if dead.is_empty() {
             return;
         }
@@ -368,19 +369,19 @@
         out.push(Effect::Send { to, message });
     }
 
-    fn help(&mut self, asker: Place, place: Place, theirs: Number, out: &mut Vec<Effect>) {
+    fn help(&mut self, asker: NodeAddress, place: NodeAddress, theirs: Number, out: &mut Vec<Effect>) {
         if self.helping.len() >= HELPING_MAX {
             return;
         }
         let ours = self.number();
-        let life = self.roster.get(place).map_or(Life(0), |peer| peer.member.life);
+        let life = self.roster.get(place).map_or(RunId(0), |peer| peer.member.life);
         let until = self.now + self.timing.answer_within;
         self.helping.push(Helping { asker, theirs, place, ours, until });
         let message = self.message(place, Talk::Probe { life, number: ours }, RIDE_BYTES);
         out.push(Effect::Send { to: place, message });
     }
 
-    fn helped(&mut self, place: Place, ours: Number, out: &mut Vec<Effect>) {
+    fn helped(&mut self, place: NodeAddress, ours: Number, out: &mut Vec<Effect>) {
         let Some(at) = self.helping.iter().position(|help| help.place == place && help.ours == ours) else {
             return;
         };
@@ -401,7 +402,7 @@
 
     // ---- changes of what is held of a member ----
 
-    fn suspect(&mut self, place: Place, incarnation: Incarnation, out: &mut Vec<Effect>) {
+    fn suspect(&mut self, place: NodeAddress, incarnation: Incarnation, out: &mut Vec<Effect>) {
         let nodes = self.roster.up().count() + 1;
         let until = self.now + self.stretched(self.timing.suspect_for(nodes));
         let now = self.now;
@@ -417,7 +418,7 @@
         }
     }
 
-    fn tell_suspect(&mut self, place: Place, out: &mut Vec<Effect>) {
+    fn tell_suspect(&mut self, place: NodeAddress, out: &mut Vec<Effect>) {
         let now = self.now;
         if let Some(peer) = self.roster.get_mut(place) {
             peer.told = now;
@@ -427,7 +428,7 @@
     }
 
     /// Asks whoever is at a place for its name, and tells whom it is held to be.
-    fn ask_place(&mut self, place: Place, out: &mut Vec<Effect>) {
+    fn ask_place(&mut self, place: NodeAddress, out: &mut Vec<Effect>) {
         let now = self.now;
         let again = self.timing.answer_within;
         let Some(peer) = self.roster.get_mut(place).filter(|peer| now - peer.told >= again) else { return };
@@ -439,7 +440,7 @@
     /// Suspects whose time is over are dead; one that was heard lately is told once more instead.
     fn bury_suspects(&mut self, out: &mut Vec<Effect>) {
         let over = |peer: &&Peer| peer.standing == Standing::Suspect && self.now >= peer.until;
-        let over: Vec<Place> = self.roster.iter().filter(over).map(|peer| peer.member.place).collect();
+        let over: Vec<NodeAddress> = self.roster.iter().filter(over).map(|peer| peer.member.place).collect();
         for place in over {
             let more = self.now + self.stretched(self.timing.probe_every);
             let now = self.now;
@@ -453,7 +454,7 @@
         }
     }
 
-    fn dead(&mut self, place: Place, out: &mut Vec<Effect>) {
+    fn dead(&mut self, place: NodeAddress, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(peer) = self.roster.get_mut(place) else { return };
         (peer.standing, peer.since) = (Standing::Dead, now);
@@ -461,7 +462,7 @@
         self.news.tell(place);
     }
 
-    fn left(&mut self, place: Place, out: &mut Vec<Effect>) {
+    fn left(&mut self, place: NodeAddress, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(peer) = self.roster.get_mut(place) else { return };
         let was_dead = peer.standing == Standing::Dead;
@@ -472,7 +473,7 @@
         self.news.tell(place);
     }
 
-    fn refuted(&mut self, place: Place, incarnation: Incarnation, out: &mut Vec<Effect>) {
+    fn refuted(&mut self, place: NodeAddress, incarnation: Incarnation, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(peer) = self.roster.get_mut(place) else { return };
         let before = peer.standing;
@@ -489,7 +490,7 @@
         self.news.tell(place);
     }
 
-    fn newcomer(&mut self, rumor: Rumor, former: Option<(Life, Micros)>, out: &mut Vec<Effect>) {
+    fn newcomer(&mut self, rumor: Rumor, former: Option<(RunId, Micros)>, out: &mut Vec<Effect>) {
         let Rumor { member, incarnation, standing } = rumor;
         let place = member.place;
         let peer = Peer {
@@ -525,7 +526,7 @@
         self.newcomer(Rumor { incarnation, ..rumor }, former, out);
     }
 
-    fn join_round(&mut self, place: Place) {
+    fn join_round(&mut self, place: NodeAddress) {
         self.round.retain(|other| *other != place);
         let at = self.below(self.round.len() + 1);
         self.round.insert(at, place);
@@ -533,7 +534,7 @@
 
     // ---- what is heard ----
 
-    fn received(&mut self, from: Place, message: Message, out: &mut Vec<Effect>) {
+    fn received(&mut self, from: NodeAddress, message: Message, out: &mut Vec<Effect>) {
         let Message { life, incarnation, talk, news } = message;
         if from == self.own.place || self.roster.get(from).is_some_and(|peer| peer.mutes(life, self.now)) {
             return;
@@ -581,7 +582,7 @@
 
     /// Word of the sender's life. A life that isn't known is asked for its name; true where it is known.
     fn heard_from(
-        &mut self, from: Place, life: Life, incarnation: Incarnation, out: &mut Vec<Effect>,
+        &mut self, from: NodeAddress, life: RunId, incarnation: Incarnation, out: &mut Vec<Effect>,
     ) -> bool {
         let now = self.now;
         match self.roster.get_mut(from) {
@@ -660,12 +661,12 @@
         true
     }
 
-    fn answer_accuser(&mut self, to: Place, out: &mut Vec<Effect>) {
+    fn answer_accuser(&mut self, to: NodeAddress, out: &mut Vec<Effect>) {
         let message = Message { news: vec![self.own_rumor(Standing::Alive)], ..self.bare(Talk::News) };
         out.push(Effect::Send { to, message });
     }
 
-    fn answered(&mut self, from: Place, number: Number, sum: u32, known: bool, out: &mut Vec<Effect>) {
+    fn answered(&mut self, from: NodeAddress, number: Number, sum: u32, known: bool, out: &mut Vec<Effect>) {
         if self.probe.as_ref().is_some_and(|probe| probe.place == from && probe.number == number) {
             self.probe_answered();
         }
@@ -678,7 +679,7 @@
         }
     }
 
-    fn doubted(&mut self, place: Place, number: Number) {
+    fn doubted(&mut self, place: NodeAddress, number: Number) {
         let Some(probe) = self.probe.as_mut() else { return };
         if let ProbeStage::SecondOpinions { doubted, .. } = &mut probe.stage
             && (probe.place, probe.number) == (place, number)
@@ -687,7 +688,7 @@
         }
     }
 
-    fn compared(&mut self, from: Place, sums: [u32; 8], back: bool, out: &mut Vec<Effect>) {
+    fn compared(&mut self, from: NodeAddress, sums: [u32; 8], back: bool, out: &mut Vec<Effect>) {
         let own = self.sums();
         let differ: [bool; 8] = std::array::from_fn(|range| own[range] != sums[range]);
         if !differ.contains(&true) {
@@ -703,7 +704,7 @@
     // ---- what is said ----
 
     /// Tells the members of some ranges, in pieces that fit into datagrams.
-    fn tell_members(&mut self, to: Place, ranges: [bool; 8], only_up: bool, out: &mut Vec<Effect>) {
+    fn tell_members(&mut self, to: NodeAddress, ranges: [bool; 8], only_up: bool, out: &mut Vec<Effect>) {
         let mut piece = vec![self.own_rumor(Standing::Alive)];
         let mut bytes = bytes_of(&piece[0]);
         for peer in self.roster.iter() {
@@ -743,7 +744,7 @@
     }
 
     /// A message with the news least told so far; who isn't held alive hears that first.
-    fn message(&mut self, to: Place, talk: Talk, bytes: usize) -> Message {
+    fn message(&mut self, to: NodeAddress, talk: Talk, bytes: usize) -> Message {
         let mut message = self.bare(talk);
         let mut left = bytes;
         let held = self.roster.get(to).filter(|peer| {
@@ -811,9 +812,9 @@
     }
 
     /// Some that are up, by chance, without one of them.
-    fn some_up(&mut self, count: usize, without: Option<Place>) -> Vec<Place> {
+    fn some_up(&mut self, count: usize, without: Option<NodeAddress>) -> Vec<NodeAddress> {
         let up = self.roster.up().map(|peer| peer.member.place);
-        let mut up: Vec<Place> = up.filter(|place| Some(*place) != without).collect();
+        let mut up: Vec<NodeAddress> = up.filter(|place| Some(*place) != without).collect();
         let count = count.min(up.len());
         for at in 0..count {
             let other = at + self.below(up.len() - at);
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use types::{Life, MS, Micros, Place};
+use types::{MS, Micros, NodeAddress, RunId};
 
 use crate::{Incarnation, MEMBERS_MAX, Member, Rumor, Standing};
 
@@ -28,7 +28,7 @@
     /// Last time it was told what is said of it, outside the common messages.
     pub told: Micros,
     /// The life that it replaced by its own word, and when.
-    pub former: Option<(Life, Micros)>,
+    pub former: Option<(RunId, Micros)>,
 }
 
 impl Peer {
@@ -37,7 +37,7 @@
     }
 
     /// Is this a late word of the life that was replaced?
-    pub fn mutes(&self, life: Life, now: Micros) -> bool {
+    pub fn mutes(&self, life: RunId, now: Micros) -> bool {
         self.former.is_some_and(|(former, at)| former == life && now - at < FORMER_MUTE)
     }
 }
@@ -113,15 +113,15 @@
 /// All that is known of others, bounded.
 #[derive(Debug, Default)]
 pub(crate) struct Roster {
-    peers: BTreeMap<Place, Peer>,
+    peers: BTreeMap<NodeAddress, Peer>,
 }
 
 impl Roster {
-    pub fn get(&self, place: Place) -> Option<&Peer> {
+    pub fn get(&self, place: NodeAddress) -> Option<&Peer> {
         self.peers.get(&place)
     }
 
-    pub fn get_mut(&mut self, place: Place) -> Option<&mut Peer> {
+    pub fn get_mut(&mut self, place: NodeAddress) -> Option<&mut Peer> {
         self.peers.get_mut(&place)
     }
 
@@ -137,7 +137,7 @@
         self.peers.values().filter(|peer| peer.standing.up())
     }
 
-    pub fn is_up(&self, place: Place) -> bool {
+    pub fn is_up(&self, place: NodeAddress) -> bool {
         self.get(place).is_some_and(|peer| peer.standing.up())
     }
 
@@ -161,12 +161,12 @@
 }
 
 /// The range of places that a place belongs to, of eight.
-pub(crate) fn range_of(place: Place) -> usize {
+pub(crate) fn range_of(place: NodeAddress) -> usize {
     (mix(u64::from(u32::from(place.0))) % 8) as usize
 }
 
 /// Digest of one living member; digests of ranges and of all are these, by exclusive or.
-pub(crate) fn digest_of(place: Place, life: Life, incarnation: Incarnation) -> u32 {
+pub(crate) fn digest_of(place: NodeAddress, life: RunId, incarnation: Incarnation) -> u32 {
     mix(mix(u64::from(u32::from(place.0)) ^ life.0) ^ u64::from(incarnation.0)) as u32
 }
 
--- a/crates/playhouse/src/calls.rs
+++ b/crates/playhouse/src/calls.rs
@@ -6,7 +6,7 @@
 use registry::{Beat, InstanceId};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
-use types::{Micros, Version};
+use types::{ConfigVersion, Micros};
 
 use crate::settings::micros;
 
@@ -71,11 +71,11 @@
 }
 
 /// The version that a change says it builds on; absent is the first, 0.
-pub fn base(headers: &HeaderMap) -> Result<Version, Wrong> {
-    let Some(value) = headers.get("Base-Version") else { return Ok(Version(0)) };
+pub fn base(headers: &HeaderMap) -> Result<ConfigVersion, Wrong> {
+    let Some(value) = headers.get("Base-Version") else { return Ok(ConfigVersion(0)) };
     let text = value.to_str().unwrap_or("").trim();
     match u32::from_str_radix(text, 16) {
-        Ok(number) if text.len() <= 8 && !text.starts_with('+') => Ok(Version(number)),
+        Ok(number) if text.len() <= 8 && !text.starts_with('+') => Ok(ConfigVersion(number)),
         _ => {
             // A header may be as long as a head; an answer and its line in the log need not be.
             let found = &text[..text.floor_char_boundary(QUOTED_MOST)];
--- a/crates/playhouse/src/commands/config.rs
+++ b/crates/playhouse/src/commands/config.rs
@@ -6,7 +6,7 @@
 use hyper::{Method, StatusCode};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
-use types::Version;
+use types::ConfigVersion;
 
 use super::call::{At, good};
 use super::{Done, Failed, print, print_json, read, text};
@@ -37,11 +37,11 @@
         /// The version that it builds on, in hexadecimal; without it, the one in force now. Give it where
         /// others may change the configuration too: of two changes on one base only one is taken.
         #[arg(long, value_name = "V", value_parser = version)]
-        base: Option<Version>,
+        base: Option<ConfigVersion>,
     },
 }
 
-fn version(text: &str) -> Result<Version, String> {
+fn version(text: &str) -> Result<ConfigVersion, String> {
     configuration::base_version(text).ok_or_else(|| "one to eight hexadecimal digits expected".to_owned())
 }
 
@@ -199,7 +199,7 @@
     if found.is_empty() { Ok(()) } else { Err(Failed::NotWell) }
 }
 
-async fn apply(at: &At, path: &Path, base: Option<Version>) -> Done {
+async fn apply(at: &At, path: &Path, base: Option<ConfigVersion>) -> Done {
     let bytes = read(path)?;
     let call = if is_whole(path, &bytes)? { "Replace" } else { "Modify" };
     let base = match base {
@@ -208,7 +208,7 @@
             Some(text) => Bill::read(&text).map(|bill| bill.version).map_err(|faults| {
                 Failed::NoAnswer(format!("the configuration in force can't be read: {faults}"))
             })?,
-            None => Version(0),
+            None => ConfigVersion(0),
         },
     };
     let taken = json(&bytes).map(|value| text(&value, "ConfigVersion").to_owned()).unwrap_or_default();
--- a/crates/playhouse/src/commands/ledger.rs
+++ b/crates/playhouse/src/commands/ledger.rs
@@ -11,7 +11,7 @@
 use simd_json::prelude::*;
 use storage::{Ledger, LedgerError, Opened};
 use transport::DiskStore;
-use types::{Index, Life, Place, Seat, Term};
+use types::{LogIndex, NodeAddress, RunId, Term, VoterId};
 
 use super::view::rollout_state;
 use super::{Done, Failed, print, print_json};
@@ -142,7 +142,7 @@
     drop(file);
     let store = DiskStore::open(&passing.0).map_err(LedgerError::from);
     let (_, opened) =
-        store.and_then(|store| Ledger::open(store, Life(0))).map_err(|error| damaged(dir, error))?;
+        store.and_then(|store| Ledger::open(store, RunId(0))).map_err(|error| damaged(dir, error))?;
     let mut held = Held { opened, script: Script::new(), unreadable: Vec::new(), taken: 0, refused: 0 };
     if let Some(snapshot) = &held.opened.saved.snapshot {
         let restored = held.script.restore(0, snapshot.index, &snapshot.data);
@@ -168,8 +168,8 @@
 }
 
 impl Held {
-    fn last(&self) -> Index {
-        let snapshot = self.opened.saved.snapshot.as_ref().map_or(Index(0), |snapshot| snapshot.index);
+    fn last(&self) -> LogIndex {
+        let snapshot = self.opened.saved.snapshot.as_ref().map_or(LogIndex(0), |snapshot| snapshot.index);
         self.opened.saved.entries.last().map_or(snapshot, |entry| entry.index)
     }
 
@@ -196,7 +196,7 @@
     fn json(&self) -> OwnedValue {
         let saved = &self.opened.saved;
         let voters: Vec<OwnedValue> = (self.members().0.iter())
-            .map(|seat| simd_json::json!({ "Place": seat.place.to_string(), "Life": format!("{:x}", seat.life.0) }))
+            .map(|seat| simd_json::json!({ "Place": seat.address.to_string(), "Life": format!("{:x}", seat.disk_id.0) }))
             .collect();
         let rollouts: Vec<OwnedValue> = (self.script.rollouts.values())
             .map(|rollout| {
@@ -237,7 +237,7 @@
             LedgerVerb::Verify { dir, json } => verify(dir, *json),
             LedgerVerb::Export { dir, to, json } => export(dir, to, *json),
             LedgerVerb::Begin { dir, to, address, the_others_are_gone, json } => {
-                begin(dir, to, Place(*address), *the_others_are_gone, *json)
+                begin(dir, to, NodeAddress(*address), *the_others_are_gone, *json)
             }
         }
     }
@@ -302,12 +302,12 @@
 /// Writes the state of one disk as the first of a new core of one voter, into a folder of its own. The new
 /// disk has a new life, so that nothing is expected of it that the old one promised, and nobody of the old
 /// core takes its voice for one of theirs.
-fn begin(dir: &Path, to: &Path, place: Place, sure: bool, json: bool) -> Done {
+fn begin(dir: &Path, to: &Path, place: NodeAddress, sure: bool, json: bool) -> Done {
     let held = hold(dir)?;
     if !held.unreadable.is_empty() {
         return Err(damaged(dir, format!("entries that hold no command of ours: {:?}", held.unreadable)));
     }
-    if held.last() == Index(0) {
+    if held.last() == LogIndex(0) {
         let text = format!("{}: it holds nothing; start as on the first start of all", dir.display());
         return Err(Failed::Wrong(text));
     }
@@ -320,7 +320,7 @@
     if found {
         return Err(Failed::Wrong(format!("{}: not empty; name a new folder", to.display())));
     }
-    let told = |voter: Option<Seat>| {
+    let told = |voter: Option<VoterId>| {
         if json {
             let voter = voter.map(|seat| seat.to_string());
             return print_json(&simd_json::json!({
@@ -329,7 +329,7 @@
                 "LastTerm": held.last_term(), "Committed": held.opened.saved.committed.0,
             }));
         }
-        let old: Vec<String> = held.members().0.iter().map(|seat| seat.place.to_string()).collect();
+        let old: Vec<String> = held.members().0.iter().map(|seat| seat.address.to_string()).collect();
         let begun =
             voter.map(|seat| format!("{} begins a new core: its one voter is {seat}\n", to.display()));
         let kept = format!(
@@ -357,15 +357,15 @@
         ));
     }
     let failed = |error: LedgerError| Failed::Process(format!("{}: {error}", to.display()).into());
-    let life = Life(crate::house::chance() | 1);
+    let life = RunId(crate::house::chance() | 1);
     let store = DiskStore::open(to).map_err(|error| failed(error.into()))?;
     let (mut ledger, _) = Ledger::open(store, life).map_err(failed)?;
     let term = Term(held.opened.saved.term.0.max(held.last_term()) + ABOVE);
-    let index = Index(held.last().0 + ABOVE);
-    let members = Members(vec![Seat { place, life }]);
+    let index = LogIndex(held.last().0 + ABOVE);
+    let members = Members(vec![VoterId { address: place, disk_id: life }]);
     let snapshot = Some(Snapshot { index, term, members, data: held.script.snapshot() });
     let (no, voted, cut_from, entries) = (WriteNo(1), None, None, Vec::new());
     let write = Write { no, term, voted, committed: index, cut_from, entries, snapshot };
     ledger.keep(&write).map_err(failed)?;
-    told(Some(Seat { place, life }))
+    told(Some(VoterId { address: place, disk_id: life }))
 }
--- a/crates/playhouse/src/commands/view.rs
+++ b/crates/playhouse/src/commands/view.rs
@@ -29,7 +29,7 @@
     span as f64 / SECOND as f64
 }
 
-fn life(life: types::Life) -> String {
+fn life(life: types::RunId) -> String {
     format!("{:x}", life.0)
 }
 
@@ -56,7 +56,7 @@
     let (house, book) = (&control.house, control.book());
     let seat = control.seat();
     let voters: Vec<OwnedValue> = (book.members().0.iter())
-        .map(|seat| simd_json::json!({ "Place": seat.place.to_string(), "Life": life(seat.life) }))
+        .map(|seat| simd_json::json!({ "Place": seat.address.to_string(), "Life": life(seat.disk_id) }))
         .collect();
     let mut members = vec![member(house, now, &house.own, "alive")];
     let others = house.company.members().filter(|(member, _)| member.place != house.own.place);
@@ -82,13 +82,13 @@
         .collect();
     simd_json::json!({
         "Node": {
-            "Name": house.own.name.clone(), "Place": seat.place.to_string(), "Life": life(seat.life),
+            "Name": house.own.name.clone(), "Place": seat.address.to_string(), "Life": life(seat.disk_id),
             "Program": house.own.edition.program.to_string(),
         },
         "AgreedForm": house.script.agreed().0,
         "WordsRefused": house.refused(),
         "Leads": book.leads(),
-        "Leader": book.leader().map(|seat| seat.place.to_string()),
+        "Leader": book.leader().map(|seat| seat.address.to_string()),
         "Term": book.term().0,
         "LogCommitted": book.committed().0,
         "LogApplied": house.script.index().0,
@@ -115,7 +115,7 @@
         "Zone": member.zone.clone(), "Standing": standing,
         "SinceS": house.company.since(member.place).map(|since| seconds(now - since)),
         "Behind": behind, "Program": member.edition.program.to_string(),
-        "OldestForm": member.edition.forms.oldest.0, "NewestForm": member.edition.forms.newest.0,
+        "OldestForm": member.edition.formats.oldest.0, "NewestForm": member.edition.formats.newest.0,
     })
 }
 
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -9,7 +9,7 @@
 use intent::{Inspector, inspector};
 use membership::{Part, Standing};
 use registry::{Beat, InstanceId};
-use types::{Ask, Carrier, Form, Index, MS, Micros, Place, SECOND, Seat};
+use types::{CallId, Carrier, FormatVersion, LogIndex, MS, Micros, NodeAddress, SECOND, VoterId};
 
 use crate::house::{Happened, House, Letter, Word};
 use crate::settings::Spans;
@@ -27,7 +27,7 @@
 /// takes a part of that.
 const CALL_WAIT: Micros = 850 * MS;
 /// The form from which on a leader is asked who else has what a leaving member has.
-const LEAVING: Form = Form::SECOND;
+const LEAVING: FormatVersion = FormatVersion::V2;
 /// A service's first version is proposed again after this, if it has not come to be ordered.
 const SEEN_AGAIN: Micros = SECOND;
 
@@ -42,13 +42,13 @@
 #[derive(Debug)]
 pub enum In {
     Tick,
-    Mail { from: Place, bytes: Vec<u8>, carrier: Carrier },
+    Mail { from: NodeAddress, bytes: Vec<u8>, carrier: Carrier },
     Written { no: WriteNo, ok: bool },
-    Order { ask: Ask, command: Command },
-    Read { ask: Ask },
-    Beat { ask: Ask, beat: Beat },
-    Detach { ask: Ask, id: InstanceId },
-    Seeds { places: Vec<Place> },
+    Order { ask: CallId, command: Command },
+    Read { ask: CallId },
+    Beat { ask: CallId, beat: Beat },
+    Detach { ask: CallId, id: InstanceId },
+    Seeds { places: Vec<NodeAddress> },
     Leave,
 }
 
@@ -59,10 +59,10 @@
     ReadAt,
     /// Not by this node, or not in time: nothing is said of the order. `leader`: where to go, if it was heard lately.
     Refused {
-        leader: Option<Place>,
+        leader: Option<NodeAddress>,
     },
     Beat {
-        target: Option<Place>,
+        target: Option<NodeAddress>,
     },
     BeatNotTaken,
 }
@@ -71,14 +71,14 @@
 #[derive(Debug)]
 pub enum Out {
     Send {
-        to: Place,
+        to: NodeAddress,
         word: Letter,
     },
     Write(Write),
     /// The instances as they are known now, for the next start; it may be lost.
     Remember(Vec<u8>),
     Tell {
-        ask: Ask,
+        ask: CallId,
         told: Told,
     },
 }
@@ -94,7 +94,7 @@
 pub struct Control {
     pub house: House,
     book: Promptbook,
-    seat: Seat,
+    seat: VoterId,
     count: Count,
     count_due: Micros,
     /// Which of the instances' changes were kept, when, and when the next are.
@@ -102,14 +102,14 @@
     memory_due: Micros,
     /// Bytes applied since the last snapshot.
     applied: usize,
-    waiting: BTreeMap<Ask, Waiting>,
+    waiting: BTreeMap<CallId, Waiting>,
     /// Asks by the moment at which they are to be answered, the earliest first; also those that have been.
-    ends: VecDeque<(Micros, Ask)>,
+    ends: VecDeque<(Micros, CallId)>,
     /// The voters that the others here were told of.
-    voters: Vec<Seat>,
+    voters: Vec<VoterId>,
     seen: HashMap<String, Micros>,
     /// A form that may be agreed, and since when all known nodes read it.
-    may_agree: Option<(Form, Micros)>,
+    may_agree: Option<(FormatVersion, Micros)>,
     /// Commands of this node's own, which nobody waits for, have asks from here on.
     own_ask: u64,
     /// A caller is sent on only to a leader that was heard within this.
@@ -126,7 +126,7 @@
 impl Control {
     /// A prompter's start. `first` are the first voters, on the first start of the whole system only.
     pub fn start(
-        mut house: House, seat: Seat, first: Option<Members>, saved: Saved, spans: &Spans, seed: u64,
+        mut house: House, seat: VoterId, first: Option<Members>, saved: Saved, spans: &Spans, seed: u64,
         now: Micros,
     ) -> (Control, Vec<Out>) {
         house.cast.spread_within(spans.drain);
@@ -175,7 +175,7 @@
     /// `ConfigApplyS`.
     pub fn check_intent(&mut self, now: Micros, apply: Micros) {
         let tuning = intent::Tuning::of_apply(apply);
-        self.inspector = Some(Inspector::start(tuning, self.seat.life.0 ^ 5, now));
+        self.inspector = Some(Inspector::start(tuning, self.seat.disk_id.0 ^ 5, now));
         self.inspect_intent(now);
         self.inspect_members(now);
     }
@@ -220,7 +220,7 @@
         }
     }
 
-    pub fn seat(&self) -> Seat {
+    pub fn seat(&self) -> VoterId {
         self.seat
     }
 
@@ -267,7 +267,7 @@
 
     /// Has a command ordered, or tells why it is not. A refusal, too, waits for proof of leadership: one that was
     /// deposed knows only an old version.
-    fn order(&mut self, now: Micros, ask: Ask, command: Command) {
+    fn order(&mut self, now: Micros, ask: CallId, command: Command) {
         match self.house.script.check_at(now, &command) {
             Ok(()) => {
                 self.wait(now, ask, false, None);
@@ -285,20 +285,20 @@
         }
     }
 
-    fn wait(&mut self, now: Micros, ask: Ask, beat: bool, refusal: Option<Command>) {
+    fn wait(&mut self, now: Micros, ask: CallId, beat: bool, refusal: Option<Command>) {
         self.waiting.insert(ask, Waiting { beat, refusal });
         self.ends.push_back((now + CALL_WAIT, ask));
     }
 
     /// Answers a caller that still waits. One that has had its answer gets no other.
-    fn tell(&mut self, ask: Ask, told: Told) {
+    fn tell(&mut self, ask: CallId, told: Told) {
         if self.waiting.remove(&ask).is_some() {
             self.out.push(Out::Tell { ask, told });
         }
     }
 
     /// It is proved that all acknowledged before the ask is applied here.
-    fn read(&mut self, now: Micros, ask: Ask) {
+    fn read(&mut self, now: Micros, ask: CallId) {
         let refusal = self.waiting.get_mut(&ask).and_then(|waiting| waiting.refusal.take());
         let Some(command) = refusal else { return self.tell(ask, Told::ReadAt) };
         match self.house.script.check_at(now, &command) {
@@ -324,7 +324,7 @@
         let voters = &self.book.members().0;
         if *voters != self.voters {
             self.voters.clone_from(voters);
-            let places = self.voters.iter().map(|seat| seat.place).collect();
+            let places = self.voters.iter().map(|seat| seat.address).collect();
             self.house.voters(now, places);
         }
     }
@@ -340,7 +340,7 @@
             }
             None => replication::Standing::Unproved,
         };
-        let leader = self.book.leader().map(|seat| seat.place);
+        let leader = self.book.leader().map(|seat| seat.address);
         self.house.stands(now, standing, proved.map(|(_, at)| at), leader);
         if self.book.leads() {
             self.log(now, Event::Prove);
@@ -377,7 +377,7 @@
         let (release, untold) = (self.book.release(), self.house.cast.untold());
         let last = self.book.counted().0;
         // One that reads form 1 only does not know the question.
-        let leader = self.book.leader().map(|seat| seat.place);
+        let leader = self.book.leader().map(|seat| seat.address);
         let asked = leader.is_some_and(|place| self.house.shared(place) >= LEAVING);
         let done = match release {
             Release::Elsewhere | Release::NoVoter | Release::Alone => true,
@@ -451,7 +451,7 @@
 
     fn propose(&mut self, now: Micros, command: &Command) {
         self.own_ask += 1;
-        self.log(now, Event::Propose { ask: Ask(self.own_ask), data: self.written(now, command) });
+        self.log(now, Event::Propose { ask: CallId(self.own_ask), data: self.written(now, command) });
     }
 
     fn written(&self, now: Micros, command: &Command) -> Vec<u8> {
@@ -490,30 +490,30 @@
             What::Command(data) => !matches!(Command::from_bytes(data), Some(Command::Seen { .. })),
             What::Nothing | What::Members(_) => false,
         };
-        (applied + 1..=last).any(|index| self.book.entry(Index(index)).is_none_or(command))
+        (applied + 1..=last).any(|index| self.book.entry(LogIndex(index)).is_none_or(command))
     }
 
     /// The newest form that all read; none where a voter's forms are not known. One that ended in order counts
     /// while it is a voter, as it may come back; else no more.
-    fn read_by_all(&self) -> Option<Form> {
+    fn read_by_all(&self) -> Option<FormatVersion> {
         let (own, company) = (&self.house.own, &self.house.company);
-        let mut newest = own.edition.forms.newest;
-        for seat in self.book.members().0.iter().filter(|seat| seat.place != own.place) {
-            newest = newest.min(company.member(seat.place)?.edition.forms.newest);
+        let mut newest = own.edition.formats.newest;
+        for seat in self.book.members().0.iter().filter(|seat| seat.address != own.place) {
+            newest = newest.min(company.member(seat.address)?.edition.formats.newest);
         }
         let known = company.members().filter(|(_, standing)| *standing != Standing::Left);
         known
-            .map(|(member, _)| member.edition.forms.newest)
+            .map(|(member, _)| member.edition.formats.newest)
             .min()
             .map(|least| newest.min(least))
             .or(Some(newest))
     }
 
     /// A node asks to be let into the core that can't read what is agreed: it is told so, and not heard.
-    fn turned_away(&mut self, from: Place) -> bool {
+    fn turned_away(&mut self, from: NodeAddress) -> bool {
         let Some(edition) = self.house.unfit(from).filter(|_| self.book.leads()) else { return false };
         let agreed = self.house.script.agreed();
-        if self.house.tells(from, Some(edition.forms.newest)) {
+        if self.house.tells(from, Some(edition.formats.newest)) {
             log::warn!("{from} is not let in: it runs {edition}, and form {agreed} is agreed");
         }
         self.house.send(from, Word::NotLetIn { agreed });
@@ -594,7 +594,7 @@
                     self.log(now, Event::Peers { places });
                     self.inspect_members(now);
                 }
-                Happened::Book { from, message: Message::Knock } if self.turned_away(from.place) => {}
+                Happened::Book { from, message: Message::Knock } if self.turned_away(from.address) => {}
                 Happened::Book { from, message } => self.log(now, Event::Received { from, message }),
                 Happened::Vote { from, vote } => self.count.cast(now, from, vote),
                 Happened::Restored => self.inspect_intent(now),
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -14,7 +14,7 @@
 use indexmap::IndexMap;
 use intent::{Intent, Usher, usher, ward};
 use membership::Part;
-use types::{Carrier, MS, Micros, Place, SECOND};
+use types::{Carrier, MS, Micros, NodeAddress, SECOND};
 
 use crate::house::{Happened, House, Letter, Word};
 use crate::settings::{Settings, micros};
@@ -40,7 +40,7 @@
 pub enum In<'a> {
     Tick,
     Mail {
-        from: Place,
+        from: NodeAddress,
         bytes: &'a [u8],
         carrier: Carrier,
     },
@@ -65,7 +65,7 @@
         ticket: TicketId,
     },
     Seeds {
-        places: Vec<Place>,
+        places: Vec<NodeAddress>,
     },
     Leave,
     /// The process ends: every open ticket gets its final answer.
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 pub enum Out {
     Send {
-        to: Place,
+        to: NodeAddress,
         word: Letter,
     },
     /// Send the ticket to an instance, over `connections` to it at most.
@@ -120,7 +120,7 @@
     open: BTreeMap<TicketId, Open>,
     fleet: Fleet,
     /// All foyers that are up, this one too, in order.
-    foyers: Vec<Place>,
+    foyers: Vec<NodeAddress>,
     bounds: Bounds,
     purse: Rc<RefCell<Purse>>,
     /// How many foyers were known over time, for this one's part of what is shared.
@@ -224,8 +224,8 @@
         simd_json::json!({
             "Node": self.house.own.name.as_str(),
             "Program": self.house.own.edition.program.to_string(),
-            "OldestForm": self.house.own.edition.forms.oldest.0,
-            "NewestForm": self.house.own.edition.forms.newest.0,
+            "OldestForm": self.house.own.edition.formats.oldest.0,
+            "NewestForm": self.house.own.edition.formats.newest.0,
             "AgreedForm": self.house.script.agreed().0,
             "WordsRefused": self.house.refused(),
             "Ready": self.ready(),
--- a/crates/playhouse/src/foyer/mod.rs
+++ b/crates/playhouse/src/foyer/mod.rs
@@ -25,7 +25,7 @@
 use membership::Part;
 use tokio::sync::oneshot;
 use transport::{Arrived, Post};
-use types::{Life, MS, Micros, Place, SECOND};
+use types::{MS, Micros, NodeAddress, RunId, SECOND};
 
 use crate::floor::desk::Seen;
 use crate::floor::{Floor, In, Out};
@@ -91,7 +91,7 @@
     let (post, mut mail) =
         Post::bind(settings.ip_address, settings.internal_port(), transport::PostLimits::default())?;
     let now = clock.now();
-    let member = settings.member(Part::Foyer, Life(chance()));
+    let member = settings.member(Part::Foyer, RunId(chance()));
     let house = House::start(member, settings.seeds(), micros(settings.heartbeat_s), chance(), now);
     let changed = Rc::new(tokio::sync::Notify::new());
     let foyer = Foyer {
@@ -195,7 +195,7 @@
 
     fn mail(&mut self, shared: &Shared, arrived: &Arrived) {
         let Arrived { from, bytes, carrier } = arrived;
-        self.step(shared, In::Mail { from: Place(*from), bytes, carrier: *carrier });
+        self.step(shared, In::Mail { from: NodeAddress(*from), bytes, carrier: *carrier });
     }
 
     fn step(&mut self, shared: &Shared, event: In<'_>) {
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -10,7 +10,10 @@
 use registry::Cast;
 use replication::Replicator;
 use serde::{Deserialize, Serialize};
-use types::{Ask, Carrier, Edition, Form, Index, MS, Micros, Place, Program, SECOND, Seat};
+use types::{
+    CallId, Carrier, FormatVersion, LogIndex, MS, Micros, NodeAddress, NodeVersion, ProgramVersion, SECOND,
+    VoterId,
+};
 
 use crate::paths::Paths;
 
@@ -21,25 +24,25 @@
     Board(replication::Message),
     Cast(registry::Message),
     Book {
-        from: Seat,
+        from: VoterId,
         message: consensus::Message,
     },
     Vote(control_state::Vote),
     Intent(intent::Word),
     /// By a leader, to a node that does not read the form that is agreed, and so is not let in.
     NotLetIn {
-        agreed: Form,
+        agreed: FormatVersion,
     },
 }
 
 impl Word {
     /// The form that brought this word: it is not sent to a node that reads less.
-    pub fn since(&self) -> Form {
+    pub fn since(&self) -> FormatVersion {
         match self {
             Word::Board(message) => message.since(),
             Word::Cast(message) => message.since(),
             Word::Book { message, .. } => message.since(),
-            Word::Company(_) | Word::Vote(_) | Word::Intent(_) | Word::NotLetIn { .. } => Form::FIRST,
+            Word::Company(_) | Word::Vote(_) | Word::Intent(_) | Word::NotLetIn { .. } => FormatVersion::V1,
         }
     }
 }
@@ -47,20 +50,20 @@
 /// A gap in the ordered news that lasted so long is told of.
 const GAP_TOLD: Micros = SECOND;
 /// From this program on, foyers choose the prompters that serve them (`replication`, watches).
-const WATCHES_SINCE: Program = Program { major: 0, minor: 7, patch: 0 };
+const WATCHES_SINCE: ProgramVersion = ProgramVersion { major: 0, minor: 7, patch: 0 };
 /// Senders and forms of refused words that are told of at most; more are only counted.
 const MOST_TOLD: usize = 128;
 
 /// Whether foyers of an edition choose the prompters that serve them, which takes the word for it as well.
-fn watches(edition: Edition) -> bool {
-    edition.program >= WATCHES_SINCE && edition.forms.newest >= replication::Message::Prove.since()
+fn watches(edition: NodeVersion) -> bool {
+    edition.program >= WATCHES_SINCE && edition.formats.newest >= replication::Message::Prove.since()
 }
 
 /// A word with its head: the form that it is in, and the newest that its sender reads.
 #[derive(Debug)]
 pub struct Letter {
-    form: Form,
-    newest: Form,
+    form: FormatVersion,
+    newest: FormatVersion,
     word: Word,
     carrier: Carrier,
 }
@@ -73,7 +76,7 @@
 
     /// Two bytes of head, then the word: what a form adds are words of their own, so that all are written alike.
     pub fn to_bytes(&self) -> Result<Vec<u8>, postcard::Error> {
-        postcard::to_extend(&self.word, vec![self.form.head(), self.newest.head()])
+        postcard::to_extend(&self.word, vec![self.form.tag_byte(), self.newest.tag_byte()])
     }
 }
 
@@ -86,9 +89,9 @@
 }
 
 /// The head of what came, and the rest. `None`: no head, as before forms; or a head that nobody writes.
-pub fn opened(bytes: &[u8]) -> Option<(Form, Form, &[u8])> {
+pub fn opened(bytes: &[u8]) -> Option<(FormatVersion, FormatVersion, &[u8])> {
     let [form, newest, rest @ ..] = bytes else { return None };
-    let (form, newest) = (Form::of_head(*form)?, Form::of_head(*newest)?);
+    let (form, newest) = (FormatVersion::from_tag_byte(*form)?, FormatVersion::from_tag_byte(*newest)?);
     (form <= newest).then_some((form, newest, rest))
 }
 
@@ -97,31 +100,31 @@
 pub enum Happened {
     /// A command was applied; the outcome is everywhere the same.
     Applied {
-        index: Index,
+        index: LogIndex,
         outcome: Outcome,
-        ask: Option<Ask>,
+        ask: Option<CallId>,
     },
     /// The state was replaced by a whole newer one.
     Restored,
     Instance(registry::InstanceId),
     BeatTaken {
-        ask: Ask,
-        target: Option<Place>,
+        ask: CallId,
+        target: Option<NodeAddress>,
     },
     BeatNotTaken {
-        ask: Ask,
+        ask: CallId,
     },
     Peers,
     Book {
-        from: Seat,
+        from: VoterId,
         message: consensus::Message,
     },
     Vote {
-        from: Place,
+        from: NodeAddress,
         vote: control_state::Vote,
     },
     Intent {
-        from: Place,
+        from: NodeAddress,
         word: intent::Word,
     },
 }
@@ -153,7 +156,7 @@
 /// What came and is of a form that is not read here.
 #[derive(Debug)]
 struct Unreadable {
-    index: Index,
+    index: LogIndex,
     why: String,
 }
 
@@ -169,18 +172,18 @@
     /// What the board and the cast were told of this node's own link.
     strained: bool,
     /// Foyers of older programs, and which of the board's watchers the cast was told of.
-    unwatching: Vec<Place>,
+    unwatching: Vec<NodeAddress>,
     watchers_told: u64,
     /// When something came or was due last.
     now: Micros,
     /// The newest form that each known node reads, as the head of its last word said.
-    heard: BTreeMap<Place, Form>,
+    heard: BTreeMap<NodeAddress, FormatVersion>,
     /// Words that were refused for their form, and the senders and forms that were told of already.
     refused: u64,
-    told: BTreeSet<(Place, Option<Form>)>,
+    told: BTreeSet<(NodeAddress, Option<FormatVersion>)>,
     /// When the state changed last, and what a prompter heard that others hold, with its moment.
     applied_at: Micros,
-    holds: BTreeMap<Place, (Index, Micros)>,
+    holds: BTreeMap<NodeAddress, (LogIndex, Micros)>,
     /// At a prompter that leads or knows who does: when a majority was last in touch by what was heard, and whether the
     /// leader is asked if it hears this node.
     touch: Option<(Micros, bool)>,
@@ -188,21 +191,21 @@
     not_taken: u64,
     declared_dead: u64,
     happened: VecDeque<Happened>,
-    out: Vec<(Place, Word)>,
+    out: Vec<(NodeAddress, Word)>,
 }
 
 impl House {
     /// Begins to look for the others. `own.life` is the process's; `beat` is what instances let pass between
     /// beats; `seed` moves all that is left to chance.
-    pub fn start(own: Member, seeds: Vec<Place>, beat: Micros, seed: u64, now: Micros) -> House {
+    pub fn start(own: Member, seeds: Vec<NodeAddress>, beat: Micros, seed: u64, now: Micros) -> House {
         let mode = match own.part {
             Part::Prompter => replication::Mode::Source,
             Part::Foyer => replication::Mode::Follower,
         };
         let (company, effects) = Company::start(own.clone(), seeds, membership::Timing::usual(), seed, now);
-        let board = Replicator::start(own.place, mode, Index(0), seed ^ 1, now);
+        let board = Replicator::start(own.place, mode, LogIndex(0), seed ^ 1, now);
         let cast = Cast::start(own.place, registry::Timing::of_heartbeat(beat), seed ^ 2, now);
-        let script = Script::reading(own.edition.forms);
+        let script = Script::reading(own.edition.formats);
         let mut house = House {
             own,
             company,
@@ -234,11 +237,11 @@
     pub fn remember(&mut self, now: Micros, bytes: &[u8]) {
         let (form, records) = match bytes {
             // A list that is not empty begins with its length, and an empty one is this byte alone.
-            [0, form, records @ ..] => (Form(*form), records),
+            [0, form, records @ ..] => (FormatVersion(*form), records),
             // Of a program before forms, as the first form is.
-            _ => (Form::FIRST, bytes),
+            _ => (FormatVersion::V1, bytes),
         };
-        if !self.own.edition.forms.read(form) {
+        if !self.own.edition.formats.contains(form) {
             let own = self.own.edition;
             return log::warn!("remembered instances are of form {form}, this is {own}: they are dropped");
         }
@@ -266,7 +269,7 @@
 
     /// The entry whose state came and can't be read here, as one of a newer program. What is applied after it
     /// is built on too little, so that a prompter must not go on.
-    pub fn unreadable(&self) -> Option<Index> {
+    pub fn unreadable(&self) -> Option<LogIndex> {
         self.unreadable.as_ref().map(|unreadable| unreadable.index)
     }
 
@@ -306,14 +309,14 @@
     }
 
     /// The newest form that both this node and the one at a place read; the oldest while it was not heard.
-    pub fn shared(&self, with: Place) -> Form {
-        let forms = self.own.edition.forms;
-        self.heard.get(&with).map_or(forms.oldest, |newest| forms.shared(*newest))
+    pub fn shared(&self, with: NodeAddress) -> FormatVersion {
+        let forms = self.own.edition.formats;
+        self.heard.get(&with).map_or(forms.oldest, |newest| forms.newest_common(*newest))
     }
 
     /// A word as it goes to a node, in the form that both read. None: the word is of a newer form than that, and
     /// is not sent; who says it must not count on it before all known nodes read it (`Script::agreed`).
-    pub fn letter(&self, to: Place, word: Word) -> Option<Letter> {
+    pub fn letter(&self, to: NodeAddress, word: Word) -> Option<Letter> {
         let form = self.shared(to);
         let carrier = match word {
             Word::Board(_) | Word::Cast(_) | Word::Vote(_) => {
@@ -321,11 +324,11 @@
             }
             _ => Carrier::Datagram,
         };
-        let newest = self.own.edition.forms.newest;
+        let newest = self.own.edition.formats.newest;
         (word.since() <= form).then_some(Letter { form, newest, word, carrier })
     }
 
-    fn is_hub(&self, place: Place) -> bool {
+    fn is_hub(&self, place: NodeAddress) -> bool {
         self.company.member(place).is_some_and(|member| member.part == Part::Prompter)
     }
 
@@ -340,18 +343,18 @@
     }
 
     /// The node at a place, where it is known not to read the form that is agreed.
-    pub fn unfit(&self, place: Place) -> Option<Edition> {
+    pub fn unfit(&self, place: NodeAddress) -> Option<NodeVersion> {
         let edition = self.company.member(place)?.edition;
-        (!edition.forms.read(self.script.agreed())).then_some(edition)
+        (!edition.formats.contains(self.script.agreed())).then_some(edition)
     }
 
     /// Whether a word of this form from there is to be told of: once, until one came that can be read.
-    pub fn tells(&mut self, from: Place, form: Option<Form>) -> bool {
+    pub fn tells(&mut self, from: NodeAddress, form: Option<FormatVersion>) -> bool {
         self.told.len() < MOST_TOLD && self.told.insert((from, form))
     }
 
     /// Counts a word that can't be read for its form, and tells of the first.
-    fn refuse(&mut self, from: Place, form: Option<Form>) {
+    fn refuse(&mut self, from: NodeAddress, form: Option<FormatVersion>) {
         self.refused += 1;
         if !self.tells(from, form) {
             return;
@@ -367,7 +370,7 @@
     }
 
     /// Nothing more is applied here, and a prompter must not go on.
-    fn give_up(&mut self, index: Index, why: String) {
+    fn give_up(&mut self, index: LogIndex, why: String) {
         if self.unreadable.is_none() {
             log::error!("the state at {} can't be read: {why}", index.0);
             self.unreadable = Some(Unreadable { index, why });
@@ -376,13 +379,13 @@
 
     /// The newest entry that another node is known to hold, where it has told of it since it must have heard
     /// of what is here: `slack` after the last change. Kept by prompters only.
-    pub fn holds(&self, place: Place, slack: Micros) -> Option<Index> {
+    pub fn holds(&self, place: NodeAddress, slack: Micros) -> Option<LogIndex> {
         let (index, at) = self.holds.get(&place)?;
         (*index >= self.board.index() || *at >= self.applied_at + slack).then_some(*index)
     }
 
     /// Notes what a node tells that it holds, for those who look after the system; nothing is decided by it.
-    fn heard_that_it_holds(&mut self, now: Micros, from: Place, message: &replication::Message) {
+    fn heard_that_it_holds(&mut self, now: Micros, from: NodeAddress, message: &replication::Message) {
         let index = match message {
             replication::Message::Have { index, .. } => *index,
             replication::Message::Want { have, .. } => *have,
@@ -401,24 +404,24 @@
     }
 
     /// The nodes of one part that are up, without this one.
-    pub fn up(&self, part: Part) -> Vec<Place> {
+    pub fn up(&self, part: Part) -> Vec<NodeAddress> {
         self.company.up(part).map(|member| member.place).filter(|place| *place != self.own.place).collect()
     }
 
-    pub fn send(&mut self, to: Place, word: Word) {
+    pub fn send(&mut self, to: NodeAddress, word: Word) {
         self.out.push((to, word));
     }
 
     /// What is to be said since this was asked last, as the rooms said it.
-    pub fn out(&mut self) -> Vec<(Place, Word)> {
+    pub fn out(&mut self) -> Vec<(NodeAddress, Word)> {
         std::mem::take(&mut self.out)
     }
 
     /// What is to be sent since this was asked last, each word as its reader takes it. One that is newer than what
     /// its reader is known to read is dropped, as a lost datagram would be.
-    pub fn letters(&mut self) -> Vec<(Place, Letter)> {
+    pub fn letters(&mut self) -> Vec<(NodeAddress, Letter)> {
         let words = self.out().into_iter();
-        let letters: Vec<(Place, Letter)> =
+        let letters: Vec<(NodeAddress, Letter)> =
             words.filter_map(|(to, word)| Some((to, self.letter(to, word)?))).collect();
         for (to, _) in letters.iter().filter(|(_, letter)| letter.carrier == Carrier::Stream) {
             self.paths.wrote(self.now, *to);
@@ -437,7 +440,7 @@
     }
 
     /// The ordered voters, for those who count a majority.
-    pub fn voters(&mut self, now: Micros, places: Vec<Place>) {
+    pub fn voters(&mut self, now: Micros, places: Vec<NodeAddress>) {
         let effects = self.cast.step(now, registry::Event::Voters { places });
         self.cast_did(effects);
     }
@@ -446,7 +449,7 @@
     /// leader that reads form 2 is asked whether it hears this node.
     pub fn stands(
         &mut self, now: Micros, standing: replication::Standing, proved: Option<Micros>,
-        leader: Option<Place>,
+        leader: Option<NodeAddress>,
     ) {
         let effects = self.board.step(now, replication::Event::Stands { standing });
         self.board_did(now, effects);
@@ -511,13 +514,13 @@
     }
 
     /// Takes what another node sent; what can't be read is dropped, as a lost datagram would be.
-    pub fn received(&mut self, now: Micros, from: Place, bytes: &[u8], carrier: Carrier) {
+    pub fn received(&mut self, now: Micros, from: NodeAddress, bytes: &[u8], carrier: Carrier) {
         self.now = now;
         if let Some(member) = self.company.member(from) {
             self.paths.heard(now, from, member.part == Part::Prompter, carrier, bytes.len());
         }
         let Some((form, newest, word)) = opened(bytes) else { return self.refuse(from, None) };
-        if !self.own.edition.forms.read(form) {
+        if !self.own.edition.formats.contains(form) {
             self.refuse(from, Some(form));
             return self.hear(from, newest);
         }
@@ -534,13 +537,13 @@
     }
 
     /// Keeps what a node reads, as long as the node is known.
-    fn hear(&mut self, from: Place, newest: Form) {
+    fn hear(&mut self, from: NodeAddress, newest: FormatVersion) {
         if self.heard.get(&from) != Some(&newest) && self.company.member(from).is_some() {
             self.heard.insert(from, newest);
         }
     }
 
-    fn take(&mut self, now: Micros, from: Place, word: Word) {
+    fn take(&mut self, now: Micros, from: NodeAddress, word: Word) {
         match word {
             Word::Company(message) => {
                 let effects = self.company.step(now, membership::Event::Received { from, message });
@@ -562,7 +565,7 @@
             Word::Book { from, message } => self.happened.push_back(Happened::Book { from, message }),
             Word::Vote(vote) => self.happened.push_back(Happened::Vote { from, vote }),
             Word::Intent(word) => self.happened.push_back(Happened::Intent { from, word }),
-            Word::NotLetIn { agreed } if !self.own.edition.forms.read(agreed) => {
+            Word::NotLetIn { agreed } if !self.own.edition.formats.contains(agreed) => {
                 let why = format!("form {agreed} is agreed, this is {}", self.own.edition);
                 self.give_up(self.script.index(), why);
             }
@@ -572,7 +575,7 @@
     }
 
     /// The settings name other machines that may know others.
-    pub fn seeds_changed(&mut self, now: Micros, seeds: Vec<Place>) {
+    pub fn seeds_changed(&mut self, now: Micros, seeds: Vec<NodeAddress>) {
         let effects = self.company.step(now, membership::Event::Seeds { places: seeds });
         self.company_did(now, effects);
     }
@@ -582,31 +585,31 @@
         self.company_did(now, effects);
     }
 
-    pub fn beat(&mut self, now: Micros, ask: Ask, beat: registry::Beat) {
+    pub fn beat(&mut self, now: Micros, ask: CallId, beat: registry::Beat) {
         let effects = self.cast.step(now, registry::Event::Beat { ask, beat });
         self.cast_did(effects);
     }
 
-    pub fn detach(&mut self, now: Micros, ask: Ask, id: registry::InstanceId) {
+    pub fn detach(&mut self, now: Micros, ask: CallId, id: registry::InstanceId) {
         let effects = self.cast.step(now, registry::Event::Detach { ask, id });
         self.cast_did(effects);
     }
 
     /// A command that this node's own log has committed.
-    pub fn committed(&mut self, now: Micros, index: Index, data: Vec<u8>, ask: Option<Ask>) {
+    pub fn committed(&mut self, now: Micros, index: LogIndex, data: Vec<u8>, ask: Option<CallId>) {
         self.apply(now, index, &data, ask);
         let effects = self.board.step(now, replication::Event::Committed { index, data });
         self.board_did(now, effects);
     }
 
     /// A state that this node's own log holds.
-    pub fn restored(&mut self, now: Micros, index: Index, data: Vec<u8>) {
+    pub fn restored(&mut self, now: Micros, index: LogIndex, data: Vec<u8>) {
         self.restore(now, index, &data);
         let effects = self.board.step(now, replication::Event::Restored { index });
         self.board_did(now, effects);
     }
 
-    fn apply(&mut self, now: Micros, index: Index, data: &[u8], ask: Option<Ask>) {
+    fn apply(&mut self, now: Micros, index: LogIndex, data: &[u8], ask: Option<CallId>) {
         // Commands that come after a state that was not read would be applied to what was there before it.
         if self.unreadable.is_some() {
             return;
@@ -624,7 +627,7 @@
         self.happened.push_back(Happened::Applied { index, outcome, ask });
     }
 
-    fn restore(&mut self, now: Micros, index: Index, data: &[u8]) {
+    fn restore(&mut self, now: Micros, index: LogIndex, data: &[u8]) {
         if self.unreadable.is_some() {
             return;
         }
--- a/crates/playhouse/src/paths.rs
+++ b/crates/playhouse/src/paths.rs
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 
-use types::{Carrier, DATAGRAM_BYTES, Micros, Place, SECOND};
+use types::{Carrier, DATAGRAM_MAX_BYTES, Micros, NodeAddress, SECOND};
 
 /// How long a node is written to by stream after an answer of it stayed away.
 const INSISTED: Micros = 5 * SECOND;
@@ -27,18 +27,18 @@
 #[derive(Debug, Default)]
 pub struct Paths {
     /// Until when.
-    insisted: BTreeMap<Place, Micros>,
+    insisted: BTreeMap<NodeAddress, Micros>,
     /// When a node was written to by stream last.
-    written: BTreeMap<Place, Micros>,
+    written: BTreeMap<NodeAddress, Micros>,
     /// Whose word, come by stream without need, is being answered.
-    answers: Option<Place>,
+    answers: Option<NodeAddress>,
     probes_fail: bool,
     strained_until: Micros,
 }
 
 impl Paths {
     /// Something that `place` should have answered was not: what goes there now is not left to datagrams.
-    pub fn insist(&mut self, now: Micros, place: Place) {
+    pub fn insist(&mut self, now: Micros, place: NodeAddress) {
         self.insisted.retain(|_, until| *until > now);
         if self.insisted.len() < MOST || self.insisted.contains_key(&place) {
             self.insisted.insert(place, now + INSISTED);
@@ -46,8 +46,8 @@
     }
 
     /// A message came; until the next one, what goes to its sender answers it.
-    pub fn heard(&mut self, now: Micros, from: Place, hub: bool, carrier: Carrier, bytes: usize) {
-        let without_need = carrier == Carrier::Stream && bytes <= DATAGRAM_BYTES;
+    pub fn heard(&mut self, now: Micros, from: NodeAddress, hub: bool, carrier: Carrier, bytes: usize) {
+        let without_need = carrier == Carrier::Stream && bytes <= DATAGRAM_MAX_BYTES;
         self.answers = without_need.then_some(from);
         let asked = self.written.get(&from).is_some_and(|at| now - at < STRAINED);
         if without_need && hub && !asked {
@@ -71,14 +71,14 @@
     }
 
     /// By what a message to `place` is to go. `hub`: it is a control machine, of which a strained node tries to reach any.
-    pub fn carrier(&self, now: Micros, place: Place, hub: bool) -> Carrier {
+    pub fn carrier(&self, now: Micros, place: NodeAddress, hub: bool) -> Carrier {
         let insisted = self.insisted.get(&place).is_some_and(|until| *until > now);
         let stream = insisted || self.answers == Some(place) || (hub && self.strained(now));
         if stream { Carrier::Stream } else { Carrier::Datagram }
     }
 
     /// A message goes to `place` by stream that would fit a datagram.
-    pub fn wrote(&mut self, now: Micros, place: Place) {
+    pub fn wrote(&mut self, now: Micros, place: NodeAddress) {
         self.written.retain(|_, at| now - *at < STRAINED);
         if self.written.len() < MOST || self.written.contains_key(&place) {
             self.written.insert(place, now);
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -19,7 +19,7 @@
 use storage::{Ledger, LedgerError, Opened, StoreError};
 use tokio::sync::oneshot;
 use transport::{Arrived, DiskHand, DiskStore, NoteHand, Post};
-use types::{Ask, Life, Micros, Place, SECOND, Seat};
+use types::{CallId, Micros, NodeAddress, RunId, SECOND, VoterId};
 
 use crate::calls::{self, Call, Wrong};
 use crate::commands::view::{Disk, view};
@@ -43,7 +43,7 @@
 const REFUSED_EVERY: Micros = 60 * SECOND;
 
 /// The life of each first voter's disk: all must name the same seats before they have met.
-const FIRST_LIFE: Life = Life(0);
+const FIRST_LIFE: RunId = RunId(0);
 /// The file of the instances that were known.
 const MEMORY: &str = "instances";
 
@@ -54,7 +54,7 @@
     post: Rc<Post>,
     disk: DiskHand<DiskStore>,
     memory: NoteHand,
-    asks: HashMap<Ask, oneshot::Sender<Told>>,
+    asks: HashMap<CallId, oneshot::Sender<Told>>,
     next_ask: u64,
     changed: Rc<tokio::sync::Notify>,
     /// Whether it led after the last step.
@@ -81,8 +81,8 @@
     let (ledger, opened) = open(&dir, first)?;
     let (disk, mut done) = DiskHand::start(ledger)?;
     let (memory, remembered) = NoteHand::start(&dir, MEMORY)?;
-    let seat = Seat { place: own, life: opened.life };
-    let voters = || settings.seeds().into_iter().map(|place| Seat { place, life: FIRST_LIFE });
+    let seat = VoterId { address: own, disk_id: opened.life };
+    let voters = || settings.seeds().into_iter().map(|place| VoterId { address: place, disk_id: FIRST_LIFE });
     // A disk with nothing kept yet has promised nothing, also where the process was killed since it was
     // begun.
     let unused = opened.life == FIRST_LIFE && opened.saved == Saved::default();
@@ -92,7 +92,7 @@
     let now = clock.now();
     // Among the nodes it is the process that lives: one that has left in order is never heard again, and this
     // one may come back with the same disk.
-    let member = settings.member(Part::Prompter, Life(chance()));
+    let member = settings.member(Part::Prompter, RunId(chance()));
     let mut house = House::start(member, settings.seeds(), micros(settings.heartbeat_s), chance(), now);
     if let Some(bytes) = remembered {
         house.remember(now, &bytes);
@@ -196,7 +196,7 @@
         |life| DiskStore::open(dir).map_err(LedgerError::from).and_then(|store| Ledger::open(store, life));
     // A file that was set aside tells of an earlier use, also where the process was killed right after.
     let first = first && !DiskStore::was_set_aside(dir);
-    let life = if first { FIRST_LIFE } else { Life(chance() | 1) };
+    let life = if first { FIRST_LIFE } else { RunId(chance() | 1) };
     let damage = |error: &LedgerError| {
         matches!(
             error,
@@ -215,7 +215,7 @@
         Err(error) if damage(&error) => {
             log::error!("the ledger can't be used and is set aside; its disk begins a new life: {error}");
             DiskStore::set_aside(dir)?;
-            begin(Life(chance() | 1))
+            begin(RunId(chance() | 1))
         }
         done => done,
     }
@@ -224,7 +224,7 @@
 impl Prompter {
     fn mail(&mut self, arrived: Arrived) {
         let Arrived { from, bytes, carrier } = arrived;
-        self.step(In::Mail { from: Place(from), bytes, carrier });
+        self.step(In::Mail { from: NodeAddress(from), bytes, carrier });
     }
 
     fn step(&mut self, event: In) {
@@ -283,10 +283,10 @@
     }
 
     /// Begins a call that waits; more than `ASKS_MOST` are not kept.
-    fn begin(&mut self, event: impl FnOnce(Ask) -> In) -> oneshot::Receiver<Told> {
+    fn begin(&mut self, event: impl FnOnce(CallId) -> In) -> oneshot::Receiver<Told> {
         let (reply, told) = oneshot::channel();
         self.next_ask += 1;
-        let ask = Ask(self.next_ask);
+        let ask = CallId(self.next_ask);
         if self.asks.len() >= ASKS_MOST {
             self.asks.retain(|_, reply| !reply.is_closed());
         }
@@ -423,10 +423,10 @@
 }
 
 /// Sends a caller on to the leader, or away for now. `leader`: one that was heard lately.
-fn elsewhere(shared: &Shared, leader: Option<Place>, head: &hyper::http::request::Parts) -> Answer {
+fn elsewhere(shared: &Shared, leader: Option<NodeAddress>, head: &hyper::http::request::Parts) -> Answer {
     let (own, port) = {
         let prompter = shared.borrow();
-        (prompter.control.seat().place, prompter.settings.control_port())
+        (prompter.control.seat().address, prompter.settings.control_port())
     };
     let Some(leader) = leader.filter(|leader| *leader != own) else {
         return unavailable("nobody is known to lead, or not in time");
--- a/crates/playhouse/src/settings.rs
+++ b/crates/playhouse/src/settings.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use membership::{Member, Part};
-use types::{Edition, Life, MS, Micros, Place, SECOND};
+use types::{MS, Micros, NodeAddress, NodeVersion, RunId, SECOND};
 
 /// Where the settings file's path stands.
 pub const VARIABLE: &str = "GARNETDOOR_SETTINGS";
@@ -382,13 +382,13 @@
     }
 
     /// This node as it tells of itself.
-    pub fn member(&self, part: Part, life: Life) -> Member {
+    pub fn member(&self, part: Part, life: RunId) -> Member {
         let (zone, name) = (self.zone.clone(), self.node_name.clone());
-        Member { place: self.place(), life, part, zone, name, edition: Edition::OWN }
+        Member { place: self.place(), life, part, zone, name, edition: NodeVersion::CURRENT }
     }
 
-    pub fn place(&self) -> Place {
-        Place(self.ip_address)
+    pub fn place(&self) -> NodeAddress {
+        NodeAddress(self.ip_address)
     }
 
     /// What follows from the bounds.
@@ -398,8 +398,8 @@
     }
 
     /// The machines that may know others.
-    pub fn seeds(&self) -> Vec<Place> {
-        self.seed_nodes.iter().map(|seed| Place(*seed.ip())).collect()
+    pub fn seeds(&self) -> Vec<NodeAddress> {
+        self.seed_nodes.iter().map(|seed| NodeAddress(*seed.ip())).collect()
     }
 
     /// The port of what nodes say to each other.
--- a/crates/playhouse/src/troubles.rs
+++ b/crates/playhouse/src/troubles.rs
@@ -2,7 +2,7 @@
 //! back. No I/O.
 
 use consensus::WriteNo;
-use types::{Index, Micros, SECOND};
+use types::{LogIndex, Micros, SECOND};
 
 /// A write that waits longer has been left by a disk that hangs.
 const DISK_HANGS: Micros = 3 * SECOND;
@@ -50,7 +50,7 @@
 /// Which roll-outs had gone back, as of an entry.
 #[derive(Debug, Default)]
 pub struct Reverted {
-    at: Index,
+    at: LogIndex,
     orders: Vec<(String, String)>,
 }
 
--- a/crates/registry/src/cast.rs
+++ b/crates/registry/src/cast.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 use oorandom::Rand32;
-use types::{Ask, MS, Micros, Place, SECOND};
+use types::{CallId, MS, Micros, NodeAddress, SECOND};
 
 use comparing::Comparison;
 
@@ -49,20 +49,20 @@
 /// Which instances there are, as one node knows it.
 #[derive(Debug)]
 pub struct Cast {
-    own: Place,
+    own: NodeAddress,
     timing: Timing,
     rng: Rand32,
     list: List,
     /// Other nodes that are up, in order.
-    hubs: Vec<Place>,
-    others: Vec<Place>,
+    hubs: Vec<NodeAddress>,
+    others: Vec<NodeAddress>,
     /// Foyers that watch this hub, in order; and those that watch none, once that is known.
-    watched_by: Vec<Place>,
-    unwatching: Option<Vec<Place>>,
+    watched_by: Vec<NodeAddress>,
+    unwatching: Option<Vec<NodeAddress>>,
     /// Whether this node takes beats.
     hub: bool,
     /// The ordered voters, in order; a majority of them has to know of a drain.
-    voters: Vec<Place>,
+    voters: Vec<NodeAddress>,
     /// When a majority of the voters was last known to be in touch with this hub; its start before the first time.
     proved: Micros,
     /// Since when the membership here holds up no majority of the voters: one that hears others and is not heard by
@@ -74,7 +74,7 @@
     /// Beats before this moment are not taken.
     mute_until: Micros,
     /// Keepers that are not up, and since when.
-    absent: IndexMap<Place, Micros>,
+    absent: IndexMap<NodeAddress, Micros>,
     rounds: Vec<Round>,
     next_round: u64,
     /// To be told to all; to the own share of the foyers, with whether they leave; to a few.
@@ -89,7 +89,7 @@
     /// How often one that starts with nothing will still ask for everything.
     first_asks: u32,
     /// Another hub that is to get the next instance, for balance.
-    shed_to: Option<Place>,
+    shed_to: Option<NodeAddress>,
     /// When what was remembered and has not been heard of is silent; those to be told of again, and how often.
     remembered_until: Micros,
     stale: Vec<InstanceId>,
@@ -100,7 +100,7 @@
 
 impl Cast {
     /// A node that knows nothing yet.
-    pub fn start(own: Place, timing: Timing, seed: u64, now: Micros) -> Cast {
+    pub fn start(own: NodeAddress, timing: Timing, seed: u64, now: Micros) -> Cast {
         let mut rng = Rand32::new(seed);
         // Answers to the rounds of an earlier life must not count for this one's.
         let next_round = u64::from(rng.rand_u32()) << 24;
@@ -227,9 +227,9 @@
         }
     }
 
-    fn peers(&mut self, now: Micros, hubs: Vec<Place>, others: Vec<Place>) {
+    fn peers(&mut self, now: Micros, hubs: Vec<NodeAddress>, others: Vec<NodeAddress>) {
         self.hub |= hubs.contains(&self.own);
-        let sorted = |places: Vec<Place>, not: &[Place]| {
+        let sorted = |places: Vec<NodeAddress>, not: &[NodeAddress]| {
             let mut places = places;
             places.retain(|place| *place != self.own && !not.contains(place));
             places.sort_unstable();
@@ -252,7 +252,7 @@
         self.keep_rounds();
     }
 
-    fn watched(&mut self, mut by: Vec<Place>, mut unwatching: Vec<Place>) {
+    fn watched(&mut self, mut by: Vec<NodeAddress>, mut unwatching: Vec<NodeAddress>) {
         by.sort_unstable();
         unwatching.sort_unstable();
         (self.watched_by, self.unwatching) = (by, Some(unwatching));
@@ -262,7 +262,7 @@
     /// Foyers that are neither up nor served from here are not told of drains any more.
     fn keep_rounds(&mut self) {
         let (others, watched_by) = (&self.others, &self.watched_by);
-        let told = |place: Place| others.contains(&place) || watched_by.contains(&place);
+        let told = |place: NodeAddress| others.contains(&place) || watched_by.contains(&place);
         self.rounds.iter_mut().for_each(|round| round.keep_foyers(told));
     }
 
@@ -273,7 +273,7 @@
         self.strained = strained;
     }
 
-    fn voters(&mut self, now: Micros, places: Vec<Place>) {
+    fn voters(&mut self, now: Micros, places: Vec<NodeAddress>) {
         self.voters = places;
         self.voters.sort_unstable();
         self.voters.dedup();
@@ -281,14 +281,14 @@
     }
 
     fn count_voters(&mut self, now: Micros) {
-        let up = |place: &&Place| **place == self.own || self.hubs.contains(place);
+        let up = |place: &&NodeAddress| **place == self.own || self.hubs.contains(place);
         let few = 2 * self.voters.iter().filter(up).count() <= self.voters.len();
         self.few_since = few.then_some(self.few_since.unwrap_or(now));
     }
 
     /// Other hubs that are told of a drain: those that are up, and the voters, whom a node that has just started knows
     /// from its disk before it has met them.
-    fn told(&self) -> Vec<Place> {
+    fn told(&self) -> Vec<NodeAddress> {
         let unmet = self.voters.iter().filter(|place| **place != self.own && !self.hubs.contains(place));
         self.hubs.iter().chain(unmet).copied().collect()
     }
@@ -298,7 +298,7 @@
         now - self.proved.min(self.few_since.unwrap_or(now)) > self.timing.contact
     }
 
-    fn beat(&mut self, now: Micros, ask: Ask, beat: Beat, out: &mut Vec<Effect>) {
+    fn beat(&mut self, now: Micros, ask: CallId, beat: Beat, out: &mut Vec<Effect>) {
         self.hub = true;
         let mut learnt = Learnt::default();
         if now < self.mute_until
@@ -329,7 +329,7 @@
         out.push(Effect::Taken { ask, target: Some(target) });
     }
 
-    fn detach(&mut self, now: Micros, ask: Ask, id: InstanceId, out: &mut Vec<Effect>) {
+    fn detach(&mut self, now: Micros, ask: CallId, id: InstanceId, out: &mut Vec<Effect>) {
         self.hub = true;
         let mut learnt = Learnt::default();
         if id.0.len() > crate::LONGEST_TEXT || !self.list.detach(now, self.own, &id, &mut learnt) {
@@ -342,7 +342,7 @@
     }
 
     /// Acknowledges that a life leaves, at once where enough others are known to know, else after a round.
-    fn leaves(&mut self, now: Micros, ask: Ask, id: InstanceId, out: &mut Vec<Effect>) {
+    fn leaves(&mut self, now: Micros, ask: CallId, id: InstanceId, out: &mut Vec<Effect>) {
         if self.list.get(&id).is_none_or(|entry| entry.confirmed) {
             return out.push(Effect::Taken { ask, target: Some(self.own) });
         }
@@ -374,7 +374,7 @@
         Some(index)
     }
 
-    fn received(&mut self, now: Micros, from: Place, message: Message, out: &mut Vec<Effect>) {
+    fn received(&mut self, now: Micros, from: NodeAddress, message: Message, out: &mut Vec<Effect>) {
         match message {
             Message::News { relay, records } => self.news(now, relay, records, out),
             Message::Leaving { round, record } => self.told_leaving(now, from, round, record, out),
@@ -409,7 +409,9 @@
     }
 
     /// Answered only if it is known here as leaving: a record that was not taken over must not count.
-    fn told_leaving(&mut self, now: Micros, from: Place, round: u64, record: Record, out: &mut Vec<Effect>) {
+    fn told_leaving(
+        &mut self, now: Micros, from: NodeAddress, round: u64, record: Record, out: &mut Vec<Effect>,
+    ) {
         let id = record.id.clone();
         let mut learnt = Learnt::default();
         self.list.merge(now, self.own, record, &mut learnt);
@@ -532,7 +534,7 @@
             let mine = self.served(OWNERS);
             tell(&mine, &pieces(self.list.records(now, &all)), false, out);
             // Two hubs tell each foyer of a drain, as the one may die.
-            let second: Vec<Place> =
+            let second: Vec<NodeAddress> =
                 self.served(DRAIN_OWNERS).into_iter().filter(|place| !mine.contains(place)).collect();
             tell(&second, &pieces(self.list.records(now, &leaving)), false, out);
         }
@@ -627,7 +629,7 @@
     /// Chooses a hub that gets an instance where this one has far more than its share.
     fn balance(&mut self) {
         self.shed_to = None;
-        let mut loads: IndexMap<Place, usize> = self.hubs.iter().map(|place| (*place, 0)).collect();
+        let mut loads: IndexMap<NodeAddress, usize> = self.hubs.iter().map(|place| (*place, 0)).collect();
         let (mut mine, mut all) = (0, 0);
         for entry in self.list.entries().filter(|entry| entry.known.state == State::InService) {
             all += 1;
@@ -655,23 +657,23 @@
     }
 
     /// Foyers that this hub tells: those that watch it, and its share of those that can't choose.
-    fn served(&self, owners: usize) -> Vec<Place> {
+    fn served(&self, owners: usize) -> Vec<NodeAddress> {
         let unwatching = self.unwatching.as_ref().unwrap_or(&self.others);
-        let share = types::share(self.own, &self.hubs, unwatching, owners);
+        let share = types::assigned_share(self.own, &self.hubs, unwatching, owners);
         let mut served = self.watched_by.clone();
         served.extend(share.into_iter().filter(|place| !self.watched_by.contains(place)));
         served
     }
 
     /// Those that are up, and those that watch this hub though they are held dead here.
-    fn all_foyers(&self) -> Vec<Place> {
+    fn all_foyers(&self) -> Vec<NodeAddress> {
         let mut foyers = self.others.clone();
         foyers.extend(self.watched_by.iter().filter(|place| !self.others.contains(place)));
         foyers
     }
 
-    fn some_others(&mut self, count: usize) -> Vec<Place> {
-        let mut all: Vec<Place> = self.hubs.iter().chain(&self.others).copied().collect();
+    fn some_others(&mut self, count: usize) -> Vec<NodeAddress> {
+        let mut all: Vec<NodeAddress> = self.hubs.iter().chain(&self.others).copied().collect();
         let mut chosen = Vec::with_capacity(count);
         while chosen.len() < count && !all.is_empty() {
             let index = self.rng.rand_range(0..all.len() as u32) as usize;
@@ -685,12 +687,12 @@
     }
 }
 
-fn give(to: Place, records: Vec<Record>, out: &mut Vec<Effect>) {
+fn give(to: NodeAddress, records: Vec<Record>, out: &mut Vec<Effect>) {
     let gives = pieces(records).into_iter().map(|records| Message::Give { records });
     out.extend(gives.map(|message| Effect::Send { to, message }));
 }
 
-fn tell(to: &[Place], pieces: &[Vec<Record>], relay: bool, out: &mut Vec<Effect>) {
+fn tell(to: &[NodeAddress], pieces: &[Vec<Record>], relay: bool, out: &mut Vec<Effect>) {
     for to in to {
         for records in pieces {
             let message = Message::News { relay, records: records.clone() };
--- a/crates/registry/src/cast/comparing.rs
+++ b/crates/registry/src/cast/comparing.rs
@@ -1,7 +1,7 @@
 //! Comparing copies of the list: digests over ranges, keys where they differ, records where one is newer. A foyer takes no
 //! silence for an answer.
 
-use types::{MS, Micros, Place};
+use types::{MS, Micros, NodeAddress};
 
 use super::{COMPARE_SPREAD, Cast, FIRST_ASK, FIRST_ASKS, GATHER, give};
 use crate::{Effect, Key, Message};
@@ -18,7 +18,7 @@
 /// A comparison that a hub has not answered yet.
 #[derive(Debug)]
 pub(super) struct Comparison {
-    with: Place,
+    with: NodeAddress,
     pub until: Micros,
     /// It was silent the time before, so that this one goes by stream.
     again: bool,
@@ -31,7 +31,8 @@
 
 impl Cast {
     pub(super) fn digest(
-        &mut self, now: Micros, from: Place, sums: &[u64; crate::BUCKETS], empty: bool, out: &mut Vec<Effect>,
+        &mut self, now: Micros, from: NodeAddress, sums: &[u64; crate::BUCKETS], empty: bool,
+        out: &mut Vec<Effect>,
     ) {
         if empty {
             let all = self.list.all(now);
@@ -67,7 +68,9 @@
         }
     }
 
-    pub(super) fn keys(&mut self, now: Micros, from: Place, whole: u16, keys: &[Key], out: &mut Vec<Effect>) {
+    pub(super) fn keys(
+        &mut self, now: Micros, from: NodeAddress, whole: u16, keys: &[Key], out: &mut Vec<Effect>,
+    ) {
         // One that knows nothing has asked for everything, which keys never answer: they are for an earlier life
         // here, and what they lead to is no whole list.
         if self.first_asks > 0 && self.list.entries().next().is_none() {
@@ -82,7 +85,7 @@
     }
 
     /// A hub has answered a comparison with its keys: done, or what it has newer was asked for and is waited for.
-    fn keys_came(&mut self, now: Micros, from: Place, asked: bool) {
+    fn keys_came(&mut self, now: Micros, from: NodeAddress, asked: bool) {
         let Some(comparison) = self.comparison.as_mut().filter(|comparison| comparison.with == from) else {
             return;
         };
@@ -93,7 +96,7 @@
     }
 
     /// A hub gives what it has newer. As a part of it may be lost, it is compared with once more after that.
-    pub(super) fn given(&mut self, now: Micros, from: Place) {
+    pub(super) fn given(&mut self, now: Micros, from: NodeAddress) {
         if let Some(comparison) = self.comparison.as_mut().filter(|comparison| comparison.with == from) {
             (comparison.until, comparison.gives) = (now + GATHER, true);
         }
@@ -113,7 +116,7 @@
         self.begin_comparison(now, with, true, out);
     }
 
-    fn begin_comparison(&mut self, now: Micros, with: Place, again: bool, out: &mut Vec<Effect>) {
+    fn begin_comparison(&mut self, now: Micros, with: NodeAddress, again: bool, out: &mut Vec<Effect>) {
         let within = if again { ANSWER_BY_STREAM } else { ANSWER_WITHIN };
         self.comparison = Some(Comparison { with, until: now + within, again, gives: false });
         out.push(Effect::Send {
--- a/crates/registry/src/drains.rs
+++ b/crates/registry/src/drains.rs
@@ -1,6 +1,6 @@
 //! Drains in flight: who was told, who has answered, who waits for the acknowledgement.
 
-use types::{Ask, MS, Micros, Place, SECOND};
+use types::{CallId, MS, Micros, NodeAddress, SECOND};
 
 use crate::InstanceId;
 
@@ -25,12 +25,12 @@
     foyers_until: Micros,
     ends: Micros,
     /// Callers, each with the moment at which its answer is due.
-    asks: Vec<(Ask, Micros)>,
+    asks: Vec<(CallId, Micros)>,
     /// Foyers told directly.
-    pub foyers: Vec<Place>,
+    pub foyers: Vec<NodeAddress>,
     /// Whether all foyers were told directly and are still waited for: worth a little, not a failure.
     all_foyers: bool,
-    heard: Vec<Place>,
+    heard: Vec<NodeAddress>,
     next_send: Micros,
     sendings: u32,
     known: bool,
@@ -40,12 +40,14 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Need<'a> {
     /// The ordered voters, this hub among them where it is one.
-    pub voters: &'a [Place],
-    pub own: Place,
+    pub voters: &'a [NodeAddress],
+    pub own: NodeAddress,
 }
 
 impl Round {
-    pub fn new(number: u64, id: InstanceId, now: Micros, foyers: Vec<Place>, all_foyers: bool) -> Round {
+    pub fn new(
+        number: u64, id: InstanceId, now: Micros, foyers: Vec<NodeAddress>, all_foyers: bool,
+    ) -> Round {
         let (asks, heard) = (Vec::new(), Vec::new());
         let foyers_until = if all_foyers { now + FOYERS_WAIT } else { Micros::MAX };
         let (ends, next_send) = (now + LASTS, now);
@@ -65,7 +67,7 @@
     }
 
     /// Another caller waits. `false` where too many do.
-    pub fn join(&mut self, ask: Ask, until: Micros) -> bool {
+    pub fn join(&mut self, ask: CallId, until: Micros) -> bool {
         let room = self.asks.len() < MOST_ASKS;
         if room {
             self.asks.push((ask, until));
@@ -75,7 +77,7 @@
     }
 
     /// `hubs`: those who are told.
-    pub fn heard(&mut self, from: Place, hubs: &[Place]) {
+    pub fn heard(&mut self, from: NodeAddress, hubs: &[NodeAddress]) {
         if !self.heard.contains(&from) && (hubs.contains(&from) || self.foyers.contains(&from)) {
             self.heard.push(from);
         }
@@ -84,13 +86,13 @@
     /// Whether a majority of the ordered voters, and at least one other node in any case, know. Never of those that
     /// this node holds up: one that is cut off for long holds up nobody else, and would be its own majority.
     fn enough(&self, need: Need) -> bool {
-        let knows = |place: &&Place| **place == need.own || self.heard.contains(place);
+        let knows = |place: &&NodeAddress| **place == need.own || self.heard.contains(place);
         let voters = need.voters.iter().filter(knows).count();
         2 * voters > need.voters.len() && !self.heard.is_empty()
     }
 
     /// Callers that get their acknowledgement now. The first time, `confirmed` is to be kept with the life.
-    pub fn take_known(&mut self, now: Micros, need: Need) -> Option<Vec<Ask>> {
+    pub fn take_known(&mut self, now: Micros, need: Need) -> Option<Vec<CallId>> {
         if now >= self.foyers_until {
             (self.foyers_until, self.all_foyers) = (Micros::MAX, false);
         }
@@ -100,14 +102,14 @@
     }
 
     /// Callers whose time is over.
-    pub fn take_late(&mut self, now: Micros) -> Vec<Ask> {
+    pub fn take_late(&mut self, now: Micros) -> Vec<CallId> {
         let late = self.asks.iter().filter(|(_, until)| *until <= now).map(|(ask, _)| *ask).collect();
         self.asks.retain(|(_, until)| *until > now);
         late
     }
 
     /// Those to be told now: all at first, later those that have not answered.
-    pub fn take_send(&mut self, now: Micros, hubs: &[Place], later: Micros) -> Vec<Place> {
+    pub fn take_send(&mut self, now: Micros, hubs: &[NodeAddress], later: Micros) -> Vec<NodeAddress> {
         if now < self.next_send {
             return Vec::new();
         }
@@ -118,12 +120,12 @@
 
     /// Whether a node that is told now has been mute for so long that datagrams seem to be lost on its way. Hubs that are
     /// mute are away rather: their links carry no requests.
-    pub fn insists(&self, place: Place) -> bool {
+    pub fn insists(&self, place: NodeAddress) -> bool {
         self.sendings > BY_DATAGRAM && self.foyers.contains(&place)
     }
 
     /// Others are not told any more.
-    pub fn keep_foyers(&mut self, told: impl Fn(Place) -> bool) {
+    pub fn keep_foyers(&mut self, told: impl Fn(NodeAddress) -> bool) {
         self.foyers.retain(|place| told(*place));
     }
 
@@ -133,7 +135,7 @@
         self.next_send = now;
     }
 
-    pub fn over(&self, now: Micros, hubs: &[Place]) -> bool {
+    pub fn over(&self, now: Micros, hubs: &[NodeAddress]) -> bool {
         let all = hubs.iter().chain(&self.foyers).all(|place| self.heard.contains(place));
         self.asks.is_empty() && (now >= self.ends || (self.known && all))
     }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddrV4;
 
 use serde::{Deserialize, Serialize};
-use types::{Ask, Form, MS, Micros, Place, SECOND};
+use types::{CallId, FormatVersion, MS, Micros, NodeAddress, SECOND};
 
 pub use cast::Cast;
 
@@ -107,7 +107,7 @@
     /// How long ago it came into its state.
     pub state_age: Micros,
     /// The prompter that takes its beats, and alone says when it has fallen silent.
-    pub keeper: Place,
+    pub keeper: NodeAddress,
 }
 
 /// An instance as this node knows it: a record with its spans as moments of the own steady clock.
@@ -127,7 +127,7 @@
     pub slow_until: Micros,
     /// When it came into its state.
     pub since: Micros,
-    pub keeper: Place,
+    pub keeper: NodeAddress,
 }
 
 /// What two copies of one record are compared by.
@@ -137,7 +137,7 @@
     pub hash: u64,
     pub state: State,
     pub sequence: u64,
-    pub keeper: Place,
+    pub keeper: NodeAddress,
 }
 
 /// Number of ranges that the hashes of ids are cut into for comparing.
@@ -183,7 +183,7 @@
 
 impl Message {
     /// The form that brought this word: it is not sent to a node that reads less.
-    pub fn since(&self) -> Form {
+    pub fn since(&self) -> FormatVersion {
         match self {
             Message::News { .. }
             | Message::Leaving { .. }
@@ -192,7 +192,7 @@
             | Message::Nothing
             | Message::Keys { .. }
             | Message::Want { .. }
-            | Message::Give { .. } => Form::FIRST,
+            | Message::Give { .. } => FormatVersion::V1,
         }
     }
 }
@@ -201,32 +201,32 @@
 pub enum Event {
     Tick,
     Received {
-        from: Place,
+        from: NodeAddress,
         message: Message,
     },
     Beat {
-        ask: Ask,
+        ask: CallId,
         beat: Beat,
     },
     Detach {
-        ask: Ask,
+        ask: CallId,
         id: InstanceId,
     },
     /// Nodes that are up now; `hubs` are those that take beats (the own place among them tells this node
     /// that it is one; so does its first beat).
     Peers {
-        hubs: Vec<Place>,
-        others: Vec<Place>,
+        hubs: Vec<NodeAddress>,
+        others: Vec<NodeAddress>,
     },
     /// At a hub: the foyers that have chosen it to be served by it, whatever the membership holds of them, and those that
     /// can't choose, as their programs are older. Until this is told, all foyers are taken for such.
     Watched {
-        by: Vec<Place>,
-        unwatching: Vec<Place>,
+        by: Vec<NodeAddress>,
+        unwatching: Vec<NodeAddress>,
     },
     /// The ordered voters as they are now, in the log here; a hub that was told of none acknowledges no drain.
     Voters {
-        places: Vec<Place>,
+        places: Vec<NodeAddress>,
     },
     /// Datagrams to or from this node seem to be lost: it compares with hubs only, and twice as often.
     Strained {
@@ -242,20 +242,20 @@
 pub enum Effect {
     /// As the board's: what goes to this node for a while should not be left to datagrams.
     Insist {
-        to: Place,
+        to: NodeAddress,
     },
     Send {
-        to: Place,
+        to: NodeAddress,
         message: Message,
     },
     /// The beat is acknowledged, with a place for later ones.
     Taken {
-        ask: Ask,
-        target: Option<Place>,
+        ask: CallId,
+        target: Option<NodeAddress>,
     },
     /// Not known to others in time, or out of bounds; the instance is to ask elsewhere.
     NotTaken {
-        ask: Ask,
+        ask: CallId,
     },
     /// State, service, address, zone, version, slots or warm-up changed. One that is forgotten is shown as
     /// `Gone` if it was not yet.
--- a/crates/registry/src/list.rs
+++ b/crates/registry/src/list.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use indexmap::IndexMap;
-use types::{Micros, Place, SECOND};
+use types::{Micros, NodeAddress, SECOND};
 
 use crate::{BUCKETS, Beat, InstanceId, Key, Known, LONGEST, Record, State};
 
@@ -90,7 +90,7 @@
 
     /// A beat at this node, which becomes the keeper. One that is not above the last sequence changes nothing,
     /// except that a drain is believed whenever it comes: an acknowledged one must be kept.
-    pub fn hear(&mut self, now: Micros, own: Place, beat: &Beat, learnt: &mut Learnt) -> Heard {
+    pub fn hear(&mut self, now: Micros, own: NodeAddress, beat: &Beat, learnt: &mut Learnt) -> Heard {
         let Some(entry) = self.entries.get_mut(&beat.id) else {
             if !self.room() {
                 return Heard::Full;
@@ -134,7 +134,7 @@
 
     /// The life says that it ends. One not known leaves a memory all the same, so that its late beats find it.
     /// Returns whether there was room for it.
-    pub fn detach(&mut self, now: Micros, own: Place, id: &InstanceId, learnt: &mut Learnt) -> bool {
+    pub fn detach(&mut self, now: Micros, own: NodeAddress, id: &InstanceId, learnt: &mut Learnt) -> bool {
         if self.entries.contains_key(id) {
             self.end(now, own, id, learnt);
             return true;
@@ -161,7 +161,7 @@
     }
 
     /// Nothing came from it for too long: silent, or gone if it was leaving.
-    pub fn quiet(&mut self, now: Micros, own: Place, id: &InstanceId, learnt: &mut Learnt) {
+    pub fn quiet(&mut self, now: Micros, own: NodeAddress, id: &InstanceId, learnt: &mut Learnt) {
         let Some(entry) = self.entries.get(id) else { return };
         match entry.known.state {
             State::Silent | State::Gone => {}
@@ -176,7 +176,7 @@
         }
     }
 
-    fn end(&mut self, now: Micros, own: Place, id: &InstanceId, learnt: &mut Learnt) {
+    fn end(&mut self, now: Micros, own: NodeAddress, id: &InstanceId, learnt: &mut Learnt) {
         let Some(entry) = self.entries.get(id) else { return };
         if entry.known.state == State::Gone {
             return;
@@ -189,7 +189,7 @@
     }
 
     /// What this node itself knew before its start; it is the older of two views by that.
-    pub fn remember(&mut self, now: Micros, own: Place, record: Record, learnt: &mut Learnt) {
+    pub fn remember(&mut self, now: Micros, own: NodeAddress, record: Record, learnt: &mut Learnt) {
         let id = record.id.clone();
         if self.merge(now, own, record, learnt)
             && let Some(entry) = self.entries.get_mut(&id)
@@ -199,7 +199,7 @@
     }
 
     /// Another node's view. Returns whether it was taken over; in any case, who leaves there leaves here.
-    pub fn merge(&mut self, now: Micros, own: Place, record: Record, learnt: &mut Learnt) -> bool {
+    pub fn merge(&mut self, now: Micros, own: NodeAddress, record: Record, learnt: &mut Learnt) -> bool {
         if !record.fits() {
             return false;
         }
@@ -241,7 +241,9 @@
     }
 
     /// Two lives at one address can't both be: the one first seen earlier is gone; a beat is always the later.
-    fn supersede(&mut self, now: Micros, own: Place, id: &InstanceId, by_beat: bool, learnt: &mut Learnt) {
+    fn supersede(
+        &mut self, now: Micros, own: NodeAddress, id: &InstanceId, by_beat: bool, learnt: &mut Learnt,
+    ) {
         let Some(entry) = self.entries.get(id) else { return };
         if entry.known.state == State::Gone {
             return;
@@ -258,7 +260,7 @@
     }
 
     /// Every change of what is known of a life goes through here: sums, news and what the driver sees.
-    fn set(&mut self, now: Micros, own: Place, next: Known, learnt: &mut Learnt) {
+    fn set(&mut self, now: Micros, own: NodeAddress, next: Known, learnt: &mut Learnt) {
         let id = next.id.clone();
         let listed = !fading(&next, now);
         let urgent;
@@ -388,7 +390,7 @@
     }
 }
 
-fn first(now: Micros, own: Place, beat: &Beat) -> Known {
+fn first(now: Micros, own: NodeAddress, beat: &Beat) -> Known {
     Known {
         id: beat.id.clone(),
         service: beat.service.clone(),
@@ -406,7 +408,7 @@
 }
 
 /// Whether a beat says what is known already.
-fn says(beat: &Beat, known: &Known, now: Micros, own: Place) -> bool {
+fn says(beat: &Beat, known: &Known, now: Micros, own: NodeAddress) -> bool {
     known.keeper == own
         && (known.state == State::Draining || (known.state == State::InService && !beat.draining))
         && known.address == beat.address
@@ -418,11 +420,11 @@
 }
 
 /// Which of two views of one life holds: gone over draining over the rest, then the later call, then silence.
-fn order(known: &Known) -> (u8, u64, bool, Option<Place>) {
+fn order(known: &Known) -> (u8, u64, bool, Option<NodeAddress>) {
     order_of(known.state, known.sequence, known.keeper)
 }
 
-fn order_of(state: State, sequence: u64, keeper: Place) -> (u8, u64, bool, Option<Place>) {
+fn order_of(state: State, sequence: u64, keeper: NodeAddress) -> (u8, u64, bool, Option<NodeAddress>) {
     match state {
         State::Gone => (2, 0, false, None),
         State::Draining => (1, sequence, false, Some(keeper)),
--- a/crates/rehearsal/src/plant.rs
+++ b/crates/rehearsal/src/plant.rs
@@ -5,7 +5,7 @@
 use playhouse::house::{Word, opened};
 use registry::{Message, State};
 use serde::{Deserialize, Serialize};
-use types::{Index, Seat};
+use types::{LogIndex, VoterId};
 
 use crate::play::{self, Day};
 use crate::rules::Rule;
@@ -291,7 +291,7 @@
                 (write.cut_from, write.snapshot) = (None, None);
                 write.entries.clear();
             }
-            let own = machine.seat_life.map(|life| Seat { place: machine.place, life });
+            let own = machine.seat_life.map(|life| VoterId { address: machine.place, disk_id: life });
             let has = |members: &Members| own.is_some_and(|own| members.0.contains(&own));
             let lets_in =
                 |entry: &consensus::Entry| matches!(&entry.what, What::Members(members) if has(members));
@@ -316,7 +316,7 @@
                 for _ in 0..2 {
                     saved.entries.pop();
                 }
-                let base = saved.snapshot.as_ref().map_or(Index(0), |snapshot| snapshot.index);
+                let base = saved.snapshot.as_ref().map_or(LogIndex(0), |snapshot| snapshot.index);
                 let last = saved.entries.last().map_or(base, |entry| entry.index);
                 saved.committed = saved.committed.min(last);
             }
--- a/crates/rehearsal/src/world/foyer.rs
+++ b/crates/rehearsal/src/world/foyer.rs
@@ -8,7 +8,7 @@
 use playhouse::floor::desk::Seen as Target;
 use playhouse::floor::{Floor, In, Out};
 use playhouse::house::Word;
-use types::{Life, MS, Micros, SECOND};
+use types::{MS, Micros, RunId, SECOND};
 
 use super::instances::Trip;
 use super::machine::Process;
@@ -39,7 +39,7 @@
 
 impl World {
     pub(crate) fn start_foyer(&mut self, at: usize) {
-        let life = Life(self.chance.rand_u64());
+        let life = RunId(self.chance.rand_u64());
         let house = self.house(at, life);
         let seed = self.chance.rand_u64();
         let mut settings = (*self.settings).clone();
--- a/crates/rehearsal/src/world/instances.rs
+++ b/crates/rehearsal/src/world/instances.rs
@@ -6,7 +6,7 @@
 
 use garnetdoor::host::{Ending, TicketId, TripNo};
 use registry::{Beat, InstanceId};
-use types::{MS, Micros, Place, SECOND};
+use types::{MS, Micros, NodeAddress, SECOND};
 
 use super::operators::{Call, Caller, Reply, Who};
 use super::{Event, World};
@@ -171,7 +171,7 @@
             Reply::Taken(target) => {
                 let by = one.target;
                 let leaving = one.state == State::Draining;
-                let target: Option<Place> = *target;
+                let target: Option<NodeAddress> = *target;
                 let first = leaving && !std::mem::replace(&mut one.acked, true);
                 if let Some(at) = target.and_then(|place| self.machine_at(place)) {
                     self.instances[instance].target = Some(at);
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -18,7 +18,7 @@
 use garnetdoor::host::{Ending, TicketId};
 use oorandom::Rand64;
 use playhouse::settings::Settings;
-use types::{Carrier, MS, Micros, Place, SECOND};
+use types::{Carrier, MS, Micros, NodeAddress, SECOND};
 
 use crate::plant::Planted;
 use crate::queue::Queue;
@@ -44,7 +44,7 @@
     },
     Mail {
         to: usize,
-        from: Place,
+        from: NodeAddress,
         bytes: Rc<[u8]>,
         carrier: Carrier,
     },
--- a/crates/rehearsal/src/world/net.rs
+++ b/crates/rehearsal/src/world/net.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use playhouse::house::{Letter, Word};
-use types::{Carrier, DATAGRAM_BYTES, MS, Micros, Place};
+use types::{Carrier, DATAGRAM_MAX_BYTES, MS, Micros, NodeAddress};
 
 use super::{Event, World};
 
@@ -37,7 +37,7 @@
         if site.region(one) == site.region(other) { 0 } else { site.far as Micros * MS }
     }
 
-    pub(crate) fn machine_at(&self, place: Place) -> Option<usize> {
+    pub(crate) fn machine_at(&self, place: NodeAddress) -> Option<usize> {
         self.machines.iter().rposition(|machine| machine.place == place && !machine.gone)
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// A datagram.
-    pub(crate) fn send(&mut self, from: usize, to: Place, word: &Letter) {
+    pub(crate) fn send(&mut self, from: usize, to: NodeAddress, word: &Letter) {
         let Some(to) = self.machine_at(to) else { return };
         if to == from || !self.passes(Some(from), Some(to)) {
             return;
@@ -78,7 +78,7 @@
         let storm = self.now < self.storm.0;
         // Larger ones go by streams, which don't lose them.
         let lost = if storm { self.storm.1 } else { self.scenario.lost };
-        let datagram = bytes.len() <= DATAGRAM_BYTES && word.carrier() == Carrier::Datagram;
+        let datagram = bytes.len() <= DATAGRAM_MAX_BYTES && word.carrier() == Carrier::Datagram;
         if datagram && (self.odds(lost) || self.lost_at_full_links(from, to)) {
             return;
         }
--- a/crates/rehearsal/src/world/operators.rs
+++ b/crates/rehearsal/src/world/operators.rs
@@ -8,7 +8,7 @@
 use control_state::{Command, State};
 use registry::{Beat, InstanceId};
 use simd_json::OwnedValue;
-use types::{MS, Micros, Place, SECOND, Version};
+use types::{ConfigVersion, MS, Micros, NodeAddress, SECOND};
 
 use super::instances::Bad;
 use super::machine::Process;
@@ -42,12 +42,12 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Reply {
     Status(u16),
-    SentOn(Place),
+    SentOn(NodeAddress),
     Closed,
     Silence,
     Bill(Option<Arc<Bill>>),
     Rollout(Option<(State, String)>),
-    Taken(Option<Place>),
+    Taken(Option<NodeAddress>),
 }
 
 /// What is to be sent once it is known which version is in force.
@@ -393,12 +393,12 @@
                 let before = self.office.orders.iter().find(|order| order.valid && order.version == base);
                 let before = before.map_or(Vec::new(), |order| order.added.clone());
                 let text = texts::modify(&self.scenario.site, version, before, &mut self.chance);
-                (Command::Modify { base: Version(base), text: text.bytes.clone() }, text)
+                (Command::Modify { base: ConfigVersion(base), text: text.bytes.clone() }, text)
             }
             None => {
                 let text =
                     texts::replace(&self.scenario.site, version, self.scenario.routes, &mut self.chance);
-                (Command::Replace { base: Version(base), text: text.bytes.clone() }, text)
+                (Command::Replace { base: ConfigVersion(base), text: text.bytes.clone() }, text)
             }
         };
         let whole = match modify {
@@ -481,7 +481,7 @@
             Purpose::Edit(Edit::Invalid(kind)) => {
                 let next = self.version();
                 let text = texts::invalid(&self.scenario.site, kind, version, next, &mut self.chance);
-                let command = Command::Replace { base: Version(version), text };
+                let command = Command::Replace { base: ConfigVersion(version), text };
                 let order = Order {
                     base: version,
                     version: next,
--- a/crates/rehearsal/src/world/prompter.rs
+++ b/crates/rehearsal/src/world/prompter.rs
@@ -9,7 +9,7 @@
 use playhouse::house::Word;
 use storage::Ledger;
 use transport::MemoryStore;
-use types::{Ask, Life, Micros, Place, Seat};
+use types::{CallId, Micros, NodeAddress, RunId, VoterId};
 
 use super::machine::Process;
 use super::operators::{Call, Caller, Reply};
@@ -56,7 +56,7 @@
         let place = self.machines[at].place;
         let first = first && self.seeds.contains(&at);
         let old = self.machines[at].seat_life.filter(|_| self.planted == Some(Planted::OldSeat));
-        let fresh = if first { Life(0) } else { Life(self.chance.rand_u64() | 1) };
+        let fresh = if first { RunId(0) } else { RunId(self.chance.rand_u64() | 1) };
         let fresh = old.unwrap_or(fresh);
         let opened = Ledger::open(self.machines[at].store.clone(), fresh);
         let (ledger, opened) = match opened {
@@ -67,17 +67,17 @@
                 return self.later(500_000, Event::Start { at, alone: true });
             }
         };
-        let seat = Seat { place, life: opened.life };
+        let seat = VoterId { address: place, disk_id: opened.life };
         self.machines[at].seat_life = Some(opened.life);
         let voters = (0..self.scenario.prompters.min(3))
-            .map(|at| Seat { place: self.machines[at].place, life: Life(0) })
+            .map(|at| VoterId { address: self.machines[at].place, disk_id: RunId(0) })
             .collect();
         let voters = Members(voters);
         let mut saved: Saved = opened.saved;
         self.found(&mut saved, &voters);
         let members = ((first || old.is_some()) && opened.fresh).then_some(voters);
         // Among the nodes it is the process that lives, as in the driver; one that has left is never heard again.
-        let life = Life(self.chance.rand_u64());
+        let life = RunId(self.chance.rand_u64());
         let house = self.house(at, life);
         let seed = self.chance.rand_u64();
         let spans = self.settings.spans();
@@ -250,15 +250,15 @@
         });
     }
 
-    fn begin(&mut self, at: usize, caller: Caller, waits: Waits, event: impl FnOnce(Ask) -> In) {
+    fn begin(&mut self, at: usize, caller: Caller, waits: Waits, event: impl FnOnce(CallId) -> In) {
         let Some(process) = self.prompter(at) else { return };
         process.next_ask += 1;
         let ask = process.next_ask;
         process.asks.insert(ask, (caller, waits));
-        self.prompter_step(at, event(Ask(ask)));
+        self.prompter_step(at, event(CallId(ask)));
     }
 
-    fn tell(&mut self, at: usize, ask: Ask, told: Told) {
+    fn tell(&mut self, at: usize, ask: CallId, told: Told) {
         let now = self.clock(at);
         let Some(process) = self.prompter(at) else { return };
         let Some((caller, waits)) = process.asks.remove(&ask.0) else { return };
@@ -331,7 +331,7 @@
         }
     }
 
-    pub(crate) fn place_of(&self, at: usize) -> Place {
+    pub(crate) fn place_of(&self, at: usize) -> NodeAddress {
         self.machines[at].place
     }
 }
@@ -345,7 +345,7 @@
         cut_from: None,
         entries: Vec::new(),
         snapshot: None,
-        committed: types::Index(0),
+        committed: types::LogIndex(0),
     }
 }
 
--- a/crates/replication/src/gap.rs
+++ b/crates/replication/src/gap.rs
@@ -1,13 +1,13 @@
 //! How long a node has been behind what it has heard of, for people who look after the system. Nothing is decided by it.
 
-use types::{Index, Micros};
+use types::{LogIndex, Micros};
 
 /// Counters and gauges of the ordered news at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// The last command held here, and the newest one heard of.
-    pub held: Index,
-    pub known: Index,
+    pub held: LogIndex,
+    pub known: LogIndex,
     /// Asks for what is missing, and those that another one had to follow, since the start.
     pub asks: u64,
     pub asks_unanswered: u64,
@@ -35,7 +35,7 @@
 }
 
 impl Gaps {
-    pub fn see(&mut self, now: Micros, held: Index, known: Index) {
+    pub fn see(&mut self, now: Micros, held: LogIndex, known: LogIndex) {
         if held < known {
             self.open.get_or_insert((now, self.unanswered));
         } else if let Some((since, unanswered)) = self.open.take() {
@@ -50,7 +50,7 @@
         self.closed.take()
     }
 
-    pub fn stats(&self, now: Micros, held: Index, known: Index) -> Stats {
+    pub fn stats(&self, now: Micros, held: LogIndex, known: LogIndex) -> Stats {
         let open = self.open.map_or(0, |(since, _)| now - since);
         Stats {
             held,
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -18,7 +18,7 @@
 pub use gap::{Gap, Stats};
 pub use node::Replicator;
 use serde::{Deserialize, Serialize};
-use types::{Form, Index, Micros, Place, Term};
+use types::{FormatVersion, LogIndex, Micros, NodeAddress, Term};
 pub use watch::WatchStats;
 
 /// Pieces up to this many bytes are sent unasked; of bigger ones the index is told, and they are asked for.
@@ -40,8 +40,8 @@
 /// A command, and the index of the command before it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
-    pub prev: Index,
-    pub index: Index,
+    pub prev: LogIndex,
+    pub index: LogIndex,
     #[serde(with = "bytes")]
     pub data: Vec<u8>,
 }
@@ -52,29 +52,29 @@
     /// answer to an ask goes on in another message.
     Pieces { fresh: bool, more: bool, pieces: Vec<Piece> },
     /// Digest: all up to `index` is here; the latest command has `weight` bytes. `fresh` as above.
-    Have { index: Index, weight: u32, fresh: bool },
+    Have { index: LogIndex, weight: u32, fresh: bool },
     /// Asks for what follows `have`.
-    Want { have: Index },
+    Want { have: LogIndex },
     /// A state that stands in for all commands up to `index`.
     Whole {
-        index: Index,
+        index: LogIndex,
         #[serde(with = "bytes")]
         data: Vec<u8>,
     },
     /// Asks a source how old at most what it holds is, and to be served by it for the next seconds. From form 2 on.
     Prove,
     /// A source's answer: all up to `index` is there. From form 2 on.
-    Proof { index: Index, standing: Standing },
+    Proof { index: LogIndex, standing: Standing },
 }
 
 impl Message {
     /// The form that brought this word: it is not sent to a node that reads less.
-    pub fn since(&self) -> Form {
+    pub fn since(&self) -> FormatVersion {
         match self {
             Message::Pieces { .. } | Message::Have { .. } | Message::Want { .. } | Message::Whole { .. } => {
-                Form::FIRST
+                FormatVersion::V1
             }
-            Message::Prove | Message::Proof { .. } => Form(2),
+            Message::Prove | Message::Proof { .. } => FormatVersion(2),
         }
     }
 }
@@ -95,32 +95,32 @@
 pub enum Event {
     Tick,
     Received {
-        from: Place,
+        from: NodeAddress,
         message: Message,
     },
     /// From this node's own log; the driver has applied it already, and it comes in order, each command once.
     Committed {
-        index: Index,
+        index: LogIndex,
         data: Vec<u8>,
     },
     /// The driver's state after the entry at `index`, told at once on `NeedWhole`.
     Kept {
-        index: Index,
+        index: LogIndex,
         data: Vec<u8>,
     },
     /// A source's own log has a state in place of all commands up to `index`: from its disk at the start, or
     /// from a leader. What follows builds on it, and on nothing older.
     Restored {
-        index: Index,
+        index: LogIndex,
     },
     /// Nodes that are up now; `hubs` are those that order the log.
     Peers {
-        hubs: Vec<Place>,
-        others: Vec<Place>,
+        hubs: Vec<NodeAddress>,
+        others: Vec<NodeAddress>,
     },
     /// Those of the others whose programs keep no watch (0.6 and older): sources push to shares of them.
     Unwatching {
-        places: Vec<Place>,
+        places: Vec<NodeAddress>,
     },
     /// Probes of several members failed at once, which tells of this node's own link: it asks what is new more often.
     Strained {
@@ -133,7 +133,7 @@
     /// The leader that this source follows, if that is another node which reads `Message::Prove`; told at least every
     /// 200 ms. It is asked whether it hears this source.
     Follows {
-        leader: Option<Place>,
+        leader: Option<NodeAddress>,
     },
 }
 
@@ -142,20 +142,20 @@
     /// Something that this node should have answered was not: what goes there from here on, for a while, should not be
     /// left to datagrams.
     Insist {
-        to: Place,
+        to: NodeAddress,
     },
     Send {
-        to: Place,
+        to: NodeAddress,
         message: Message,
     },
     /// The next command, in order and without gaps.
     Apply {
-        index: Index,
+        index: LogIndex,
         data: Vec<u8>,
     },
     /// A state that stands in for all commands up to `index`.
     Restore {
-        index: Index,
+        index: LogIndex,
         data: Vec<u8>,
     },
     /// The driver is asked for its state, answered by `Kept` at once.
--- a/crates/replication/src/node/asking.rs
+++ b/crates/replication/src/node/asking.rs
@@ -5,7 +5,7 @@
 impl Replicator {
     /// Whether one that tells of news now is rather to be asked than the one that has been asked and has said nothing: a
     /// word of it has just come through. Where much is missing it is waited for, as a second copy would slow down the first.
-    pub(super) fn asked_in_vain(&self, teller: Place) -> bool {
+    pub(super) fn asked_in_vain(&self, teller: NodeAddress) -> bool {
         let little = self.known_weight as usize <= SMALL_BYTES;
         let silent = |asked: &Asked| asked.from != teller && asked.told == 0 && self.now - asked.at >= SILENT;
         little && self.asked.as_ref().is_some_and(silent)
@@ -13,7 +13,7 @@
 
     /// Whoever is asked tells first how much is on its way: it is waited for so long. Guards against asking for a
     /// second copy of a state while a slow link still carries the first, which makes the link slower still.
-    pub(super) fn told_while_asking(&mut self, from: Place, weight: u32) {
+    pub(super) fn told_while_asking(&mut self, from: NodeAddress, weight: u32) {
         let until = self.now + self.wait(0).max(ASK_BASE + Micros::from(weight) * ASK_BYTE);
         if let Some(asked) = self.asked.as_mut().filter(|asked| asked.from == from && asked.told < weight) {
             (asked.told, asked.until) = (weight, asked.until.max(until));
@@ -31,7 +31,7 @@
     }
 
     /// After something came: done, or the rest is asked of whom it came from, at the end of its answer.
-    pub(super) fn go_on(&mut self, from: Place, more: bool, progress: bool, out: &mut Vec<Effect>) {
+    pub(super) fn go_on(&mut self, from: NodeAddress, more: bool, progress: bool, out: &mut Vec<Effect>) {
         if self.index >= self.known {
             self.asked = None;
             self.tellers.clear();
@@ -54,7 +54,7 @@
         base * Micros::from(1 + tries) + Micros::from(self.known_weight) * ASK_BYTE
     }
 
-    pub(super) fn ask(&mut self, from: Place, tries: u32, fresh: bool, out: &mut Vec<Effect>) {
+    pub(super) fn ask(&mut self, from: NodeAddress, tries: u32, fresh: bool, out: &mut Vec<Effect>) {
         let until = self.now + self.wait(tries);
         self.asked = Some(Asked { from, at: self.now, until, tries, fresh, told: 0 });
         self.gaps.asks += 1;
--- a/crates/replication/src/node/mod.rs
+++ b/crates/replication/src/node/mod.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use oorandom::Rand64;
-use types::{Index, MS, Micros, Place, SECOND};
+use types::{LogIndex, MS, Micros, NodeAddress, SECOND};
 
 use crate::gap::{Gap, Gaps, Stats};
 use crate::proof::{Contact, Proofs};
@@ -61,7 +61,7 @@
 /// An ask that is out.
 #[derive(Debug)]
 struct Asked {
-    from: Place,
+    from: NodeAddress,
     at: Micros,
     /// Another is asked from then on.
     until: Micros,
@@ -75,36 +75,36 @@
 /// A whole state as the driver told it.
 #[derive(Debug)]
 struct Kept {
-    index: Index,
+    index: LogIndex,
     data: Vec<u8>,
     at: Micros,
 }
 
 /// What this node holds of the ordered news, and whom it asks and tells.
 pub struct Replicator {
-    own: Place,
+    own: NodeAddress,
     mode: Mode,
-    index: Index,
+    index: LogIndex,
     /// The highest index heard of anywhere.
-    known: Index,
+    known: LogIndex,
     /// Bytes of the command at `known`.
     known_weight: u32,
     rand: Rand64,
-    hubs: Vec<Place>,
-    others: Vec<Place>,
+    hubs: Vec<NodeAddress>,
+    others: Vec<NodeAddress>,
     /// Others that keep no watch, as their programs are older.
-    unwatching: Vec<Place>,
+    unwatching: Vec<NodeAddress>,
     ring: Ring,
     early: Early,
     /// Who told of more than is held here, latest last.
-    tellers: Vec<(Place, Index)>,
+    tellers: Vec<(NodeAddress, LogIndex)>,
     asked: Option<Asked>,
     /// Whom to tell of a big command later, and when the next lot.
-    tell_later: (Micros, Vec<Place>),
+    tell_later: (Micros, Vec<NodeAddress>),
     kept: Option<Kept>,
     whole_bytes: usize,
     /// Who waits for `Kept`.
-    wanting: Vec<Place>,
+    wanting: Vec<NodeAddress>,
     /// Bytes of whole states that may be sent now, and since when.
     may_send: (i64, Micros),
     /// Until when the ring keeps more, and how many bytes more.
@@ -115,7 +115,7 @@
     digest_hub: bool,
     /// Hubs that are to hear what is held here, the next one last: each in its turn, so that none is left out for long
     /// by chance.
-    turn: Vec<Place>,
+    turn: Vec<NodeAddress>,
     /// At a follower: whether what is held is known to be new.
     proofs: Proofs,
     /// At a follower: the sources that are to serve it.
@@ -130,7 +130,7 @@
     /// At a source: the followers that have not acknowledged what was pushed to them.
     unacknowledged: Pushes,
     /// At a follower: the hubs that pushed a command, to be told once it is held here.
-    acknowledge: BTreeMap<Place, Index>,
+    acknowledge: BTreeMap<NodeAddress, LogIndex>,
     strained: bool,
     now: Micros,
 }
@@ -138,7 +138,7 @@
 impl Replicator {
     /// A board that holds all up to `start` and neither sends nor applies anything below it. Times are of a
     /// steady clock in microseconds, `seed` is for chance.
-    pub fn start(own: Place, mode: Mode, start: Index, seed: u64, now: Micros) -> Replicator {
+    pub fn start(own: NodeAddress, mode: Mode, start: LogIndex, seed: u64, now: Micros) -> Replicator {
         let mut rand = Rand64::new(u128::from(seed));
         let next_digest = now + rand.rand_range(0..DIGEST_SOON as u64) as Micros;
         Replicator {
@@ -237,7 +237,7 @@
     }
 
     /// At a source: the followers that asked to be served, in order. `watchers_changes` rises whenever they are others.
-    pub fn watchers(&self) -> impl Iterator<Item = Place> {
+    pub fn watchers(&self) -> impl Iterator<Item = NodeAddress> {
         self.watchers.places()
     }
 
@@ -251,7 +251,7 @@
     }
 
     /// All commands up to here are applied (or, at a source, committed).
-    pub fn index(&self) -> Index {
+    pub fn index(&self) -> LogIndex {
         self.index
     }
 
@@ -312,14 +312,14 @@
     fn acknowledge(&mut self, out: &mut Vec<Effect>) {
         let held = self.index;
         let ready = self.acknowledge.iter().filter(|(_, index)| **index <= held).map(|(hub, _)| *hub);
-        for hub in ready.collect::<Vec<Place>>() {
+        for hub in ready.collect::<Vec<NodeAddress>>() {
             self.acknowledge.remove(&hub);
             self.tell(hub, false, out);
         }
     }
 
     /// A hub has told of a command that was committed just now, and waits to hear that it is held here.
-    fn pushed_by(&mut self, hub: Place, index: Index) {
+    fn pushed_by(&mut self, hub: NodeAddress, index: LogIndex) {
         if self.mode == Mode::Follower && (self.hubs.contains(&hub) || self.watches.has(hub)) {
             let wanted = self.acknowledge.entry(hub).or_insert(index);
             *wanted = index.max(*wanted);
@@ -327,7 +327,7 @@
     }
 
     /// Each hub that is up once, in an order by chance; then a new order.
-    fn next_hub(&mut self) -> Option<Place> {
+    fn next_hub(&mut self) -> Option<NodeAddress> {
         if self.turn.is_empty() {
             self.turn.clone_from(&self.hubs);
             shuffle(&mut self.rand, &mut self.turn);
@@ -335,17 +335,17 @@
         self.turn.pop()
     }
 
-    fn peers(&mut self, hubs: Vec<Place>, others: Vec<Place>, out: &mut Vec<Effect>) {
+    fn peers(&mut self, hubs: Vec<NodeAddress>, others: Vec<NodeAddress>, out: &mut Vec<Effect>) {
         let own = self.own;
-        let sorted = |places: Vec<Place>| {
-            let mut places: Vec<Place> = places.into_iter().filter(|place| *place != own).collect();
+        let sorted = |places: Vec<NodeAddress>| {
+            let mut places: Vec<NodeAddress> = places.into_iter().filter(|place| *place != own).collect();
             places.sort_unstable();
             places.dedup();
             places.truncate(PEERS_MAX);
             places
         };
         let (hubs, others) = (sorted(hubs), sorted(others));
-        let new: Vec<Place> = hubs.iter().copied().filter(|hub| !self.hubs.contains(hub)).collect();
+        let new: Vec<NodeAddress> = hubs.iter().copied().filter(|hub| !self.hubs.contains(hub)).collect();
         (self.hubs, self.others) = (hubs, others);
         let (watchers, others) = (&self.watchers, &self.others);
         self.unacknowledged.keep(|place| watchers.has(place) || others.binary_search(&place).is_ok());
@@ -371,14 +371,14 @@
         }
     }
 
-    fn unwatching(&mut self, mut places: Vec<Place>) {
+    fn unwatching(&mut self, mut places: Vec<NodeAddress>) {
         places.sort_unstable();
         places.dedup();
         places.truncate(PEERS_MAX);
         self.unwatching = places;
     }
 
-    fn received(&mut self, from: Place, message: Message, out: &mut Vec<Effect>) {
+    fn received(&mut self, from: NodeAddress, message: Message, out: &mut Vec<Effect>) {
         if from == self.own {
             return;
         }
@@ -394,7 +394,7 @@
 
     /// A source that holds more than is here is asked for it at once by one that has just started, as if it had told by a
     /// digest. Later it is expected to push it.
-    fn proof(&mut self, from: Place, index: Index, standing: Standing, out: &mut Vec<Effect>) {
+    fn proof(&mut self, from: NodeAddress, index: LogIndex, standing: Standing, out: &mut Vec<Effect>) {
         if self.mode == Mode::Source {
             self.contact.answered(from);
         } else {
@@ -408,7 +408,9 @@
         }
     }
 
-    fn pieces(&mut self, from: Place, fresh: bool, more: bool, pieces: Vec<Piece>, out: &mut Vec<Effect>) {
+    fn pieces(
+        &mut self, from: NodeAddress, fresh: bool, more: bool, pieces: Vec<Piece>, out: &mut Vec<Effect>,
+    ) {
         if self.mode == Mode::Source {
             return;
         }
@@ -449,7 +451,7 @@
     }
 
     /// The only place where `index` moves, and it only rises.
-    fn advance(&mut self, index: Index, weight: u32) {
+    fn advance(&mut self, index: LogIndex, weight: u32) {
         debug_assert!(index > self.index);
         self.index = index;
         if index > self.known {
@@ -460,7 +462,7 @@
         self.kept = None;
     }
 
-    fn heard_of(&mut self, from: Place, index: Index, weight: u32) {
+    fn heard_of(&mut self, from: NodeAddress, index: LogIndex, weight: u32) {
         if index > self.known {
             (self.known, self.known_weight) = (index, weight);
         }
@@ -473,7 +475,7 @@
         }
     }
 
-    fn have(&mut self, from: Place, index: Index, weight: u32, fresh: bool, out: &mut Vec<Effect>) {
+    fn have(&mut self, from: NodeAddress, index: LogIndex, weight: u32, fresh: bool, out: &mut Vec<Effect>) {
         self.heard_of(from, index, weight);
         self.unacknowledged.holds(from, index);
         if fresh {
@@ -499,11 +501,11 @@
 /// The most that a piece takes on the wire beside its data.
 const PIECE_HEAD: usize = 24;
 
-fn pick(rand: &mut Rand64, places: &[Place]) -> Option<Place> {
+fn pick(rand: &mut Rand64, places: &[NodeAddress]) -> Option<NodeAddress> {
     (!places.is_empty()).then(|| places[rand.rand_range(0..places.len() as u64) as usize])
 }
 
-fn shuffle(rand: &mut Rand64, places: &mut [Place]) {
+fn shuffle(rand: &mut Rand64, places: &mut [NodeAddress]) {
     for last in (1..places.len()).rev() {
         places.swap(last, rand.rand_range(0..last as u64 + 1) as usize);
     }
--- a/crates/replication/src/node/source.rs
+++ b/crates/replication/src/node/source.rs
@@ -8,14 +8,14 @@
 
 impl Replicator {
     /// Whom this hub pushes to: the followers that watch it, and its share of those that can't watch anybody.
-    pub(super) fn served(&self) -> Vec<Place> {
-        let mut served: Vec<Place> = self.watchers.places().collect();
-        let share = types::share(self.own, &self.hubs, &self.unwatching, OWNERS);
+    pub(super) fn served(&self) -> Vec<NodeAddress> {
+        let mut served: Vec<NodeAddress> = self.watchers.places().collect();
+        let share = types::assigned_share(self.own, &self.hubs, &self.unwatching, OWNERS);
         served.extend(share.into_iter().filter(|place| !self.watchers.has(*place)));
         served
     }
 
-    pub(super) fn committed(&mut self, index: Index, data: Vec<u8>, out: &mut Vec<Effect>) {
+    pub(super) fn committed(&mut self, index: LogIndex, data: Vec<u8>, out: &mut Vec<Effect>) {
         if self.mode == Mode::Follower || index <= self.index {
             return;
         }
@@ -48,7 +48,7 @@
 
     /// The chain goes on from here: whoever is behind can't get what came before in pieces, and is given the
     /// whole. Without this the next piece would claim to follow on what was held before.
-    pub(super) fn restored(&mut self, index: Index) {
+    pub(super) fn restored(&mut self, index: LogIndex) {
         if self.mode == Mode::Follower || index <= self.index {
             return;
         }
@@ -89,7 +89,7 @@
         self.pushes.1 <= PUSHES_MAX
     }
 
-    pub(super) fn tell_standing(&mut self, to: Place, out: &mut Vec<Effect>) {
+    pub(super) fn tell_standing(&mut self, to: NodeAddress, out: &mut Vec<Effect>) {
         if self.mode == Mode::Follower {
             return;
         }
--- a/crates/replication/src/node/telling.rs
+++ b/crates/replication/src/node/telling.rs
@@ -4,14 +4,14 @@
 
 impl Replicator {
     /// Somebody holds less: little is sent at once, of much it is told that it is here.
-    pub(super) fn mend(&mut self, to: Place, have: Index, out: &mut Vec<Effect>) {
+    pub(super) fn mend(&mut self, to: NodeAddress, have: LogIndex, out: &mut Vec<Effect>) {
         match self.ring.missing(have) {
             (1.., bytes) if bytes <= SMALL_BYTES => self.send_pieces(to, have, out),
             _ => self.tell(to, false, out),
         }
     }
 
-    pub(super) fn want(&mut self, from: Place, have: Index, out: &mut Vec<Effect>) {
+    pub(super) fn want(&mut self, from: NodeAddress, have: LogIndex, out: &mut Vec<Effect>) {
         self.unacknowledged.holds(from, have);
         if have >= self.index {
             self.heard_of(from, have, 0);
@@ -26,13 +26,13 @@
         }
     }
 
-    pub(super) fn tell(&mut self, to: Place, fresh: bool, out: &mut Vec<Effect>) {
+    pub(super) fn tell(&mut self, to: NodeAddress, fresh: bool, out: &mut Vec<Effect>) {
         let message = Message::Have { index: self.index, weight: self.ring.weight(), fresh };
         out.push(Effect::Send { to, message });
     }
 
     /// A piece that was new here goes on to a few others, or they hear of it. Each node passes a piece on once.
-    pub(super) fn pass_on(&mut self, from: Place, piece: &Piece, out: &mut Vec<Effect>) {
+    pub(super) fn pass_on(&mut self, from: NodeAddress, piece: &Piece, out: &mut Vec<Effect>) {
         let big = piece.data.len() > SMALL_BYTES;
         if big && piece.prev > self.index {
             return;
@@ -52,7 +52,7 @@
     }
 
     /// What follows `have`: small ones together, each message small enough for a datagram unless one piece isn't.
-    pub(super) fn send_pieces(&mut self, to: Place, have: Index, out: &mut Vec<Effect>) {
+    pub(super) fn send_pieces(&mut self, to: NodeAddress, have: LogIndex, out: &mut Vec<Effect>) {
         let mut pieces = Vec::new();
         let (mut bytes, mut all) = (0, 0);
         for piece in self.ring.after(have) {
--- a/crates/replication/src/node/whole.rs
+++ b/crates/replication/src/node/whole.rs
@@ -17,7 +17,9 @@
     }
 
     /// Sends a whole state, if that is not too much at once, behind a word of how much it is.
-    pub(super) fn send_whole(&mut self, to: Place, index: Index, data: &[u8], out: &mut Vec<Effect>) {
+    pub(super) fn send_whole(
+        &mut self, to: NodeAddress, index: LogIndex, data: &[u8], out: &mut Vec<Effect>,
+    ) {
         if !self.may_send(data.len()) {
             return;
         }
@@ -28,7 +30,7 @@
         out.push(Effect::Send { to, message: Message::Whole { index, data: data.to_vec() } });
     }
 
-    pub(super) fn need_whole(&mut self, from: Place, out: &mut Vec<Effect>) {
+    pub(super) fn need_whole(&mut self, from: NodeAddress, out: &mut Vec<Effect>) {
         if let Some(kept) = self.kept.take() {
             self.send_whole(from, kept.index, &kept.data, out);
             self.kept = Some(kept);
@@ -42,7 +44,7 @@
         }
     }
 
-    pub(super) fn whole_told(&mut self, index: Index, data: Vec<u8>, out: &mut Vec<Effect>) {
+    pub(super) fn whole_told(&mut self, index: LogIndex, data: Vec<u8>, out: &mut Vec<Effect>) {
         // No command lies between the last one told and a later entry of the log.
         let index = index.min(self.index);
         self.whole_bytes = data.len();
@@ -52,7 +54,7 @@
         self.kept = Some(Kept { index, data, at: self.now });
     }
 
-    pub(super) fn whole(&mut self, from: Place, index: Index, data: Vec<u8>, out: &mut Vec<Effect>) {
+    pub(super) fn whole(&mut self, from: NodeAddress, index: LogIndex, data: Vec<u8>, out: &mut Vec<Effect>) {
         if self.mode == Mode::Source || index <= self.index {
             return;
         }
--- a/crates/replication/src/proof.rs
+++ b/crates/replication/src/proof.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use types::{Index, MS, Micros, Place, SECOND};
+use types::{LogIndex, MS, Micros, NodeAddress, SECOND};
 
 use crate::{Effect, Message, PEERS_MAX, Standing};
 
@@ -24,7 +24,7 @@
 /// When the leader that a source follows was last known to hear it.
 #[derive(Debug, Default)]
 pub(crate) struct Contact {
-    leader: Option<Place>,
+    leader: Option<NodeAddress>,
     /// When it was asked last, and when it was first asked of the asks that it has not answered.
     asked: Option<Micros>,
     open: Option<Micros>,
@@ -37,7 +37,7 @@
     }
 
     /// Asks the leader, where it is time to. An ask of another leader is void.
-    pub fn follows(&mut self, now: Micros, leader: Option<Place>, out: &mut Vec<Effect>) {
+    pub fn follows(&mut self, now: Micros, leader: Option<NodeAddress>, out: &mut Vec<Effect>) {
         if leader != self.leader {
             (self.leader, self.asked, self.open) = (leader, None, None);
         }
@@ -50,7 +50,7 @@
     }
 
     /// An answer may be to any of the asks that are open: it counts as one to the first.
-    pub fn answered(&mut self, from: Place) {
+    pub fn answered(&mut self, from: NodeAddress) {
         if self.leader == Some(from) {
             self.at = self.at.max(self.open.take());
         }
@@ -60,12 +60,12 @@
 /// What the sources have answered.
 #[derive(Debug, Default)]
 pub(crate) struct Proofs {
-    answers: BTreeMap<Place, (Micros, Index, Standing)>,
-    asked: BTreeMap<Place, Micros>,
+    answers: BTreeMap<NodeAddress, (Micros, LogIndex, Standing)>,
+    asked: BTreeMap<NodeAddress, Micros>,
     /// When the first was asked.
     began: Option<Micros>,
     /// What is to be held for what is here to be new enough.
-    needs: Option<Index>,
+    needs: Option<LogIndex>,
     done: bool,
 }
 
@@ -76,7 +76,7 @@
         self.done
     }
 
-    pub fn due(&self, hubs: &[Place]) -> Micros {
+    pub fn due(&self, hubs: &[NodeAddress]) -> Micros {
         if self.done || self.needs.is_some() {
             return Micros::MAX;
         }
@@ -92,7 +92,7 @@
     }
 
     /// Asks those that are up and have not proved anything.
-    pub fn ask(&mut self, now: Micros, hubs: &[Place], out: &mut Vec<Effect>) {
+    pub fn ask(&mut self, now: Micros, hubs: &[NodeAddress], out: &mut Vec<Effect>) {
         if self.due(hubs) > now {
             return;
         }
@@ -107,7 +107,7 @@
     }
 
     /// Only those that were asked are heard, so that what is kept is bounded by them.
-    pub fn answered(&mut self, now: Micros, from: Place, index: Index, standing: Standing) {
+    pub fn answered(&mut self, now: Micros, from: NodeAddress, index: LogIndex, standing: Standing) {
         if self.done || self.needs.is_some() || !self.asked.contains_key(&from) {
             return;
         }
@@ -123,8 +123,8 @@
     }
 
     /// Where a majority of the voters have just started, what the newest of them holds is as new as anything.
-    fn started(&self) -> Option<Index> {
-        let (mut count, mut voters, mut newest) = (0, 0, Index(0));
+    fn started(&self) -> Option<LogIndex> {
+        let (mut count, mut voters, mut newest) = (0, 0, LogIndex(0));
         for (_, index, standing) in self.answers.values() {
             if let Standing::Started { voters: of } = standing {
                 (count, voters, newest) = (count + 1, voters.max(usize::from(*of)), newest.max(*index));
@@ -134,7 +134,7 @@
     }
 
     /// `index` is held.
-    pub fn holds(&mut self, index: Index) {
+    pub fn holds(&mut self, index: LogIndex) {
         if self.needs.is_some_and(|needs| index >= needs) {
             self.done = true;
             (self.answers, self.asked) = Default::default();
--- a/crates/replication/src/pushes.rs
+++ b/crates/replication/src/pushes.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use types::{Index, MS, Micros, Place, SECOND};
+use types::{LogIndex, MS, Micros, NodeAddress, SECOND};
 
 /// A push by datagram should be acknowledged within this, beside what its bytes take.
 const ACKNOWLEDGED: Micros = 200 * MS;
@@ -17,8 +17,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     /// What it is known to hold at least, and what it was pushed.
-    holds: Index,
-    index: Index,
+    holds: LogIndex,
+    index: LogIndex,
     until: Micros,
     told_again: u32,
 }
@@ -26,27 +26,29 @@
 /// A follower that has not acknowledged in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Overdue {
-    pub place: Place,
-    pub holds: Index,
+    pub place: NodeAddress,
+    pub holds: LogIndex,
     /// Datagrams were lost more than once.
     pub insist: bool,
 }
 
 /// The followers that are waited for, bounded by those that are pushed to.
 #[derive(Debug, Default)]
-pub(crate) struct Pushes(BTreeMap<Place, Waiting>);
+pub(crate) struct Pushes(BTreeMap<NodeAddress, Waiting>);
 
 impl Pushes {
     /// `to` was told of the command at `index`, which follows `prev`; what it has to get may take `transfer` beside a
     /// word's way.
-    pub fn pushed(&mut self, now: Micros, to: Place, prev: Index, index: Index, transfer: Micros) {
+    pub fn pushed(
+        &mut self, now: Micros, to: NodeAddress, prev: LogIndex, index: LogIndex, transfer: Micros,
+    ) {
         let until = now + ACKNOWLEDGED + transfer;
         let waiting = self.0.entry(to).or_insert(Waiting { holds: prev, index, until, told_again: 0 });
         waiting.index = waiting.index.max(index);
     }
 
     /// A follower has shown that it holds all up to `index`.
-    pub fn holds(&mut self, place: Place, index: Index) {
+    pub fn holds(&mut self, place: NodeAddress, index: LogIndex) {
         let Some(waiting) = self.0.get_mut(&place) else { return };
         waiting.holds = waiting.holds.max(index);
         if waiting.index <= index {
@@ -55,7 +57,7 @@
     }
 
     /// Others are not waited for any more.
-    pub fn keep(&mut self, served: impl Fn(Place) -> bool) {
+    pub fn keep(&mut self, served: impl Fn(NodeAddress) -> bool) {
         self.0.retain(|place, _| served(*place));
     }
 
