--- a/crates/replication/src/ring.rs
+++ b/crates/replication/src/ring.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use types::Index;
+use types::LogIndex;
 
 use crate::Piece;
 
@@ -46,19 +46,19 @@
     }
 
     /// What the latest command follows.
-    pub fn before_last(&self) -> Index {
-        self.pieces.back().map_or(Index(0), |piece| piece.prev)
+    pub fn before_last(&self) -> LogIndex {
+        self.pieces.back().map_or(LogIndex(0), |piece| piece.prev)
     }
 
     /// What follows `have`; nothing where the chain from there is not held any more.
-    pub fn after(&self, have: Index) -> impl Iterator<Item = &Piece> {
+    pub fn after(&self, have: LogIndex) -> impl Iterator<Item = &Piece> {
         let first = self.pieces.partition_point(|piece| piece.index <= have);
         let whole = self.pieces.get(first).is_some_and(|piece| piece.prev <= have);
         self.pieces.range(if whole { first } else { self.pieces.len() }..)
     }
 
     /// Count and bytes of what follows `have`.
-    pub fn missing(&self, have: Index) -> (usize, usize) {
+    pub fn missing(&self, have: LogIndex) -> (usize, usize) {
         self.after(have).fold((0, 0), |(count, bytes), piece| (count + 1, bytes + piece.data.len()))
     }
 }
@@ -66,12 +66,12 @@
 /// Pieces that came before those they build on.
 #[derive(Debug, Default)]
 pub(crate) struct Early {
-    pieces: BTreeMap<Index, Piece>,
+    pieces: BTreeMap<LogIndex, Piece>,
     bytes: usize,
 }
 
 impl Early {
-    pub fn has(&self, index: Index) -> bool {
+    pub fn has(&self, index: LogIndex) -> bool {
         self.pieces.contains_key(&index)
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// The piece that fits after `have`, if it is here; older ones are dropped.
-    pub fn next(&mut self, have: Index) -> Option<Piece> {
+    pub fn next(&mut self, have: LogIndex) -> Option<Piece> {
         loop {
             let first = self.pieces.first_entry()?;
             if first.get().index > have && first.get().prev > have {
--- a/crates/replication/src/watch.rs
+++ b/crates/replication/src/watch.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use types::{Index, MS, Micros, Place, SECOND};
+use types::{LogIndex, MS, Micros, NodeAddress, SECOND};
 
 use crate::{Effect, Message, Standing};
 
@@ -39,7 +39,7 @@
 /// One source that is watched.
 #[derive(Debug)]
 struct Watch {
-    source: Place,
+    source: NodeAddress,
     since: Micros,
     asked: Option<Micros>,
     heard: Option<Micros>,
@@ -49,7 +49,7 @@
 }
 
 impl Watch {
-    fn at(source: Place, now: Micros) -> Watch {
+    fn at(source: NodeAddress, now: Micros) -> Watch {
         Watch { source, since: now, asked: None, heard: None, as_of: None, insisted: false }
     }
 
@@ -72,8 +72,8 @@
 /// A proof of more than was held here.
 #[derive(Debug)]
 struct Missing {
-    index: Index,
-    source: Place,
+    index: LogIndex,
+    source: NodeAddress,
     /// Asked for from then on.
     until: Micros,
 }
@@ -91,19 +91,19 @@
 /// The sources that one follower watches.
 #[derive(Debug)]
 pub(crate) struct Watches {
-    own: Place,
+    own: NodeAddress,
     watches: Vec<Watch>,
-    left: BTreeMap<Place, Micros>,
+    left: BTreeMap<NodeAddress, Micros>,
     left_in_a_row: u32,
     /// A proof of more than is held here yet: what is to be held, and as of when that is the newest.
-    pending: Option<(Index, Micros)>,
+    pending: Option<(LogIndex, Micros)>,
     missing: Option<Missing>,
     next: Micros,
     stats: WatchStats,
 }
 
 impl Watches {
-    pub fn of(own: Place) -> Watches {
+    pub fn of(own: NodeAddress) -> Watches {
         Watches {
             own,
             watches: Vec::new(),
@@ -120,7 +120,7 @@
         self.stats
     }
 
-    pub fn has(&self, source: Place) -> bool {
+    pub fn has(&self, source: NodeAddress) -> bool {
         self.watches.iter().any(|watch| watch.source == source)
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// A source has told how old its news is, and up to where they go.
-    pub fn answered(&mut self, now: Micros, from: Place, index: Index, standing: Standing) {
+    pub fn answered(&mut self, now: Micros, from: NodeAddress, index: LogIndex, standing: Standing) {
         let Some(watch) = self.watches.iter_mut().find(|watch| watch.source == from) else { return };
         watch.heard = Some(now);
         watch.insisted = false;
@@ -152,19 +152,19 @@
     }
 
     /// A source proved to have what is not held here; it is expected to push it.
-    pub fn misses(&mut self, now: Micros, source: Place, index: Index) {
+    pub fn misses(&mut self, now: Micros, source: NodeAddress, index: LogIndex) {
         self.missing.get_or_insert(Missing { index, source, until: now + MISSED_AFTER });
     }
 
     /// What was expected and did not come: whom to ask for it now.
-    pub fn overdue(&mut self, now: Micros) -> Option<Place> {
+    pub fn overdue(&mut self, now: Micros) -> Option<NodeAddress> {
         let missing = self.missing.as_mut().filter(|missing| now >= missing.until)?;
         missing.until = now + MISSED_AFTER;
         Some(missing.source)
     }
 
     /// All up to `index` is held here.
-    pub fn holds(&mut self, index: Index) {
+    pub fn holds(&mut self, index: LogIndex) {
         self.missing.take_if(|missing| missing.index <= index);
         if let Some((_, as_of)) = self.pending.take_if(|(needs, _)| *needs <= index) {
             self.stats.current_as_of = self.stats.current_as_of.max(Some(as_of));
@@ -172,7 +172,7 @@
     }
 
     /// Leaves sources that are silent or old, goes to others among those that are `up`, and asks those whose time has come.
-    pub fn tend(&mut self, now: Micros, up: &[Place], out: &mut Vec<Effect>) {
+    pub fn tend(&mut self, now: Micros, up: &[NodeAddress], out: &mut Vec<Effect>) {
         if now < self.next {
             return;
         }
@@ -215,7 +215,7 @@
     }
 
     /// Adds those that are wanted and not watched; those that are watched and not wanted go once the others serve.
-    fn go_to_wanted(&mut self, now: Micros, up: &[Place], by_stream: bool, out: &mut Vec<Effect>) {
+    fn go_to_wanted(&mut self, now: Micros, up: &[NodeAddress], by_stream: bool, out: &mut Vec<Effect>) {
         let wanted = self.wanted(up);
         for source in &wanted {
             if !self.has(*source) && self.watches.len() < SOURCES_MAX {
@@ -223,8 +223,9 @@
                 out.extend(by_stream.then_some(Effect::Insist { to: *source }));
             }
         }
-        let serves =
-            |source: &Place| self.watches.iter().any(|watch| watch.source == *source && watch.serves(now));
+        let serves = |source: &NodeAddress| {
+            self.watches.iter().any(|watch| watch.source == *source && watch.serves(now))
+        };
         if !wanted.is_empty() && wanted.iter().all(serves) {
             self.watches.retain(|watch| wanted.contains(&watch.source));
         }
@@ -232,15 +233,15 @@
 
     /// The sources that are to serve this node: by rendezvous hashing, so that followers spread evenly and few move
     /// where a source comes or goes. One that was left lately only where there are no others.
-    fn wanted(&self, up: &[Place]) -> Vec<Place> {
-        let mut ranked: Vec<Place> = up.to_vec();
+    fn wanted(&self, up: &[NodeAddress]) -> Vec<NodeAddress> {
+        let mut ranked: Vec<NodeAddress> = up.to_vec();
         ranked.sort_by_cached_key(|source| (self.left.contains_key(source), rank(self.own, *source)));
         ranked.truncate(SOURCES);
         ranked
     }
 }
 
-fn rank(follower: Place, source: Place) -> u64 {
+fn rank(follower: NodeAddress, source: NodeAddress) -> u64 {
     let mut hasher = DefaultHasher::new();
     (follower, source).hash(&mut hasher);
     hasher.finish()
--- a/crates/replication/src/watchers.rs
+++ b/crates/replication/src/watchers.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use types::{Micros, Place, SECOND};
+use types::{Micros, NodeAddress, SECOND};
 
 use crate::PEERS_MAX;
 
@@ -15,14 +15,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct Watchers {
     /// Until when each is served.
-    until: BTreeMap<Place, Micros>,
+    until: BTreeMap<NodeAddress, Micros>,
     changes: u64,
     next_look: Micros,
 }
 
 impl Watchers {
     /// A follower has asked; more than `PEERS_MAX` at once are not taken.
-    pub fn renewed(&mut self, now: Micros, follower: Place) {
+    pub fn renewed(&mut self, now: Micros, follower: NodeAddress) {
         let known = self.until.contains_key(&follower);
         if known || self.until.len() < PEERS_MAX {
             self.until.insert(follower, now + LASTS);
@@ -41,11 +41,11 @@
         self.changes += u64::from(self.until.len() != before);
     }
 
-    pub fn has(&self, follower: Place) -> bool {
+    pub fn has(&self, follower: NodeAddress) -> bool {
         self.until.contains_key(&follower)
     }
 
-    pub fn places(&self) -> impl Iterator<Item = Place> {
+    pub fn places(&self) -> impl Iterator<Item = NodeAddress> {
         self.until.keys().copied()
     }
 
--- a/crates/storage/src/form.rs
+++ b/crates/storage/src/form.rs
@@ -3,7 +3,7 @@
 use consensus::{Entry, Members, Saved, Snapshot, What};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use types::{Index, Life, Seat, Term};
+use types::{LogIndex, RunId, Term, VoterId};
 
 use crate::{LedgerError, Pairs};
 
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Hard {
     pub term: Term,
-    pub voted: Option<Seat>,
+    pub voted: Option<VoterId>,
     pub base: u64,
     pub last: u64,
     /// Behind the rest in the value; a value that ends before it tells of nothing committed.
@@ -40,7 +40,7 @@
 }
 
 pub(crate) struct Recovered {
-    pub life: Life,
+    pub life: RunId,
     pub hard: Hard,
     pub saved: Saved,
 }
@@ -52,7 +52,7 @@
     key
 }
 
-pub(crate) fn seal_life(life: Life) -> Vec<u8> {
+pub(crate) fn seal_life(life: RunId) -> Vec<u8> {
     seal(LIFE, &life, &[])
 }
 
@@ -130,7 +130,7 @@
                 read.committed = tail.first_chunk().map_or(0, |bytes| u64::from_le_bytes(*bytes));
                 hard = Some(read);
             }
-            LIFE => life = Some(unseal::<Life>(&key, &value)?.0),
+            LIFE => life = Some(unseal::<RunId>(&key, &value)?.0),
             SNAPSHOT => snapshot = Some(read_snapshot(&key, &value)?),
             _ => entries.push(read_entry(&key, &value)?),
         }
@@ -162,13 +162,13 @@
     if next <= hard.last {
         return Err(missing(&entry_key(next)));
     }
-    let committed = Index(hard.committed);
+    let committed = LogIndex(hard.committed);
     let saved = Saved { term: hard.term, voted: hard.voted, committed, snapshot, entries };
     Ok(Recovered { life, hard, saved })
 }
 
 fn read_snapshot(key: &[u8], value: &[u8]) -> Result<Snapshot, LedgerError> {
-    let ((index, term, members), data) = unseal::<(Index, Term, Members)>(key, value)?;
+    let ((index, term, members), data) = unseal::<(LogIndex, Term, Members)>(key, value)?;
     Ok(Snapshot { index, term, members, data: data.to_vec() })
 }
 
@@ -186,5 +186,5 @@
         Kind::Command => What::Command(tail.to_vec()),
         Kind::Members(members) => What::Members(members),
     };
-    Ok(Entry { index: Index(u64::from_be_bytes(index)), term, what })
+    Ok(Entry { index: LogIndex(u64::from_be_bytes(index)), term, what })
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -10,7 +10,7 @@
 
 use consensus::{Saved, Write};
 use thiserror::Error;
-use types::{Index, Life};
+use types::{LogIndex, RunId};
 
 use form::{Hard, entry_key};
 pub use store::{Batch, Pairs, Step, Store, StoreError};
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Opened {
     /// The disk's life, the one it got when it was first opened.
-    pub life: Life,
+    pub life: RunId,
     pub saved: Saved,
     /// The disk was empty; it promised nothing before.
     pub fresh: bool,
@@ -65,7 +65,7 @@
     /// Opens what is in the store, or begins it with the life `fresh` if it is empty; the beginning is
     /// durable at return. Damage is an error that names its place: nothing is dropped to get on, since all
     /// that was ever kept may have been acknowledged.
-    pub fn open(mut store: S, fresh: Life) -> Result<(Self, Opened), LedgerError> {
+    pub fn open(mut store: S, fresh: RunId) -> Result<(Self, Opened), LedgerError> {
         let all = store.scan(&[], &[])?;
         if all.is_empty() {
             let mut batch = Batch::default();
@@ -95,7 +95,7 @@
         for write in writes {
             span = lay(&mut batch, span, write)?;
         }
-        let (Write { term, voted, .. }, Index(committed)) = (newest, newest.committed);
+        let (Write { term, voted, .. }, LogIndex(committed)) = (newest, newest.committed);
         let hard = Hard { term: *term, voted: *voted, base: span.base, last: span.last, committed };
         batch.put(form::HARD.to_vec(), form::seal_hard(&hard));
         self.store.put(&batch)?;
@@ -104,8 +104,8 @@
     }
 
     /// The newest entry kept, or the snapshot's index where there is none.
-    pub fn last(&self) -> Index {
-        Index(self.span.last)
+    pub fn last(&self) -> LogIndex {
+        LogIndex(self.span.last)
     }
 
     pub fn into_store(self) -> S {
@@ -115,7 +115,7 @@
 
 /// Adds one write's steps to a batch; tells what is kept after it.
 fn lay(batch: &mut Batch, mut span: Span, write: &Write) -> Result<Span, LedgerError> {
-    if let Some(Index(from)) = write.cut_from {
+    if let Some(LogIndex(from)) = write.cut_from {
         let from = from.max(span.base + 1);
         if from <= span.last {
             batch.cut(entry_key(from).to_vec(), form::AFTER_ENTRIES.to_vec());
@@ -123,7 +123,7 @@
         }
     }
     if let Some(snapshot) = &write.snapshot {
-        let Index(index) = snapshot.index;
+        let LogIndex(index) = snapshot.index;
         // The second bound as in recovery: what could not be read back is not written.
         if index < span.base || index > form::INDEX_MOST {
             return Err(LedgerError::Misfit { last: span.base, found: index });
@@ -133,7 +133,7 @@
         span = Span { base: index, last: span.last.max(index) };
     }
     for entry in &write.entries {
-        let Index(index) = entry.index;
+        let LogIndex(index) = entry.index;
         if index <= span.base {
             continue;
         }
--- a/crates/transport/src/post.rs
+++ b/crates/transport/src/post.rs
@@ -48,7 +48,7 @@
 impl Default for PostLimits {
     fn default() -> Self {
         Self {
-            datagram: types::DATAGRAM_BYTES,
+            datagram: types::DATAGRAM_MAX_BYTES,
             message: 16 << 20,
             queue: 4 << 20,
             peers: 128,
--- a/crates/types/src/carrier.rs
+++ b/crates/types/src/carrier.rs
@@ -1,13 +1,13 @@
-//! How messages between nodes travel.
+//! How messages between nodes are carried.
 
-/// Messages up to this many bytes go by datagram, unless a datagram is not to be relied on; longer ones by stream.
-pub const DATAGRAM_BYTES: usize = 1_200;
+/// Messages of up to this many bytes are sent as datagrams, unless they must not be lost; longer ones are sent by stream.
+pub const DATAGRAM_MAX_BYTES: usize = 1_200;
 
 /// What carries a message between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Carrier {
-    /// Whole and at most once, or lost: at a full link nearly all are.
+    /// Delivers a message whole and at most once, or loses it; on a saturated link nearly all are lost.
     Datagram,
-    /// In order and not lost while both ends live, but behind what waits at a full link.
+    /// Delivers messages in order and without loss while both ends live, but behind what is queued for a saturated link.
     Stream,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,67 +1,94 @@
-//! Props (shared plain types): what the rooms of the system name things by. Nothing here decides anything.
+//! Plain types that all packages of the system share: addresses and identifiers of nodes, positions in the replicated log,
+//! and versions of programs and formats. Nothing here makes a decision.
+//!
+//! Those with `Serialize` are written by postcard, which stores fields by position: their fields must keep their order.
 
+mod assignment;
 mod carrier;
-mod form;
-mod share;
+mod format_version;
 
 use std::fmt;
 use std::net::Ipv4Addr;
 
-pub use carrier::{Carrier, DATAGRAM_BYTES};
-pub use form::{Edition, Form, Forms, Program};
+pub use assignment::assigned_share;
+pub use carrier::{Carrier, DATAGRAM_MAX_BYTES};
+pub use format_version::{FormatRange, FormatVersion, NodeVersion, ProgramVersion};
 pub use garnetdoor::host::Micros;
 use serde::{Deserialize, Serialize};
-pub use share::share;
 
-/// A machine of the system, by its address; the ports are the same on all machines of a deployment.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Place(pub Ipv4Addr);
+/// The address of a node. Ports are not part of it: they are the same on all nodes of a deployment.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct NodeAddress(pub Ipv4Addr);
 
-/// One life: of a process, or of a disk where there is one. Drawn by chance when it begins.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life(pub u64);
+/// The random id of one run of a process, drawn when it starts, or of one initialisation of a disk.
+#[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct RunId(pub u64);
 
-/// A member of the core: a place, and the life of the disk there. A machine that comes back with an empty
-/// disk has another seat, so that nothing it promised before is expected of it.
+/// A member of the voting core: a node's address together with the id of the disk there. A node that returns with an
+/// empty disk is another voter, so nothing that it promised before is expected of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Seat {
-    pub place: Place,
-    pub life: Life,
+pub struct VoterId {
+    pub address: NodeAddress,
+    /// Drawn when the disk was initialised.
+    pub disk_id: RunId,
 }
 
-/// A place in the ordered log; 0 is before the first entry.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Index(pub u64);
+/// A position in the replicated log; 0 is before the first entry.
+#[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct LogIndex(pub u64);
 
 /// A leader's term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
-/// Names a caller who waits for an answer, within one process.
+/// Identifies a call that waits for its answer, within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ask(pub u64);
+pub struct CallId(pub u64);
 
-/// The version of a configuration; eight hexadecimal digits in bodies.
+/// The version of a configuration; written as eight hexadecimal digits in request and response bodies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Version(pub u32);
+pub struct ConfigVersion(pub u32);
 
-impl fmt::Display for Place {
+impl fmt::Display for NodeAddress {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
 }
 
-impl fmt::Display for Version {
+impl fmt::Display for ConfigVersion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:08x}", self.0)
     }
 }
 
-impl fmt::Display for Seat {
+impl fmt::Display for VoterId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}/{:x}", self.address, self.disk_id.0)
+    }
+}
+
+// Log lines such as `intent: ...` contain the `Debug` text of the next three types, and operators read those lines by the
+// names that the types had before.
+
+impl fmt::Debug for NodeAddress {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_tuple("Place").field(&self.0).finish()
+    }
+}
+
+impl fmt::Debug for RunId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_tuple("Life").field(&self.0).finish()
+    }
+}
+
+impl fmt::Debug for LogIndex {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{:x}", self.place, self.life.0)
+        f.debug_tuple("Index").field(&self.0).finish()
     }
 }
 
+/// One millisecond.
 pub const MS: Micros = 1_000;
+/// One second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/understudy/src/targets/words.rs
+++ b/crates/understudy/src/targets/words.rs
@@ -9,7 +9,10 @@
 use playhouse::house::{House, Letter, Word, opened};
 use playhouse::settings::Spans;
 use registry::{Beat, InstanceId};
-use types::{Ask, Carrier, Edition, Form, Forms, Life, MS, Micros, Place, SECOND, Seat, Version};
+use types::{
+    CallId, Carrier, ConfigVersion, FormatRange, FormatVersion, MS, Micros, NodeAddress, NodeVersion, RunId,
+    SECOND, VoterId,
+};
 
 use super::BILL;
 use crate::shapes::{frames, joined};
@@ -29,8 +32,8 @@
     said: Vec<Vec<u8>>,
 }
 
-fn place(number: u8) -> Place {
-    Place(Ipv4Addr::new(10, 0, 0, number))
+fn place(number: u8) -> NodeAddress {
+    NodeAddress(Ipv4Addr::new(10, 0, 0, number))
 }
 
 fn member(number: u8) -> Member {
@@ -38,16 +41,16 @@
     let part = if number <= 3 { Part::Prompter } else { Part::Foyer };
     Member {
         place: place(number),
-        life: Life(number.into()),
+        life: RunId(number.into()),
         part,
         zone: "z".into(),
         name: format!("n{number}"),
-        edition: Edition::OWN,
+        edition: NodeVersion::CURRENT,
     }
 }
 
-fn seat(number: u8) -> Seat {
-    Seat { place: place(number), life: Life(0) }
+fn seat(number: u8) -> VoterId {
+    VoterId { address: place(number), disk_id: RunId(0) }
 }
 
 fn house(number: u8, now: Micros) -> House {
@@ -102,7 +105,7 @@
     now: Micros,
     prompters: Vec<Control>,
     foyer: House,
-    mail: Vec<(u8, Place, Vec<u8>)>,
+    mail: Vec<(u8, NodeAddress, Vec<u8>)>,
 }
 
 impl Hall {
@@ -127,7 +130,7 @@
         }
     }
 
-    fn post(&mut self, from: u8, to: Place, word: &Letter) {
+    fn post(&mut self, from: u8, to: NodeAddress, word: &Letter) {
         self.mail.push((from, to, word.to_bytes().expect("a word can be written")));
     }
 
@@ -176,16 +179,16 @@
             for number in 1..=3 {
                 let event = match (round, number) {
                     (80, 1..=3) => {
-                        let command = Command::Replace { base: Version(0), text: BILL.into() };
-                        In::Order { ask: Ask(80), command }
+                        let command = Command::Replace { base: ConfigVersion(0), text: BILL.into() };
+                        In::Order { ask: CallId(80), command }
                     }
-                    (90, 1) => In::Beat { ask: Ask(90), beat: beat(1, 1, false) },
-                    (94, 2) => In::Beat { ask: Ask(94), beat: beat(2, 1, false) },
-                    (100, 2) => In::Beat { ask: Ask(100), beat: beat(2, 2, true) },
+                    (90, 1) => In::Beat { ask: CallId(90), beat: beat(1, 1, false) },
+                    (94, 2) => In::Beat { ask: CallId(94), beat: beat(2, 1, false) },
+                    (100, 2) => In::Beat { ask: CallId(100), beat: beat(2, 2, true) },
                     (120, 1..=3) => {
                         let (service, target) = ("s".into(), "v2".into());
                         In::Order {
-                            ask: Ask(120),
+                            ask: CallId(120),
                             command: Command::Rollout { service, target, period: SECOND },
                         }
                     }
@@ -240,7 +243,7 @@
 fn read(bytes: &[u8]) -> Option<Word> {
     let (form, _, word) = opened(bytes)?;
     let (word, rest) = postcard::take_from_bytes(word).ok()?;
-    (Forms::OWN.read(form) && rest.is_empty()).then_some(word)
+    (FormatRange::SUPPORTED.contains(form) && rest.is_empty()).then_some(word)
 }
 
 impl Target for Words {
@@ -255,7 +258,7 @@
     fn seeds(&self) -> Vec<Vec<u8>> {
         let singles = self.said.iter().map(|word| joined([word]));
         let headed = self.said.first().map(|word| {
-            let head = [word[0], 0, Form::FIRST.head(), Form::FIRST.head()];
+            let head = [word[0], 0, FormatVersion::V1.tag_byte(), FormatVersion::V1.tag_byte()];
             joined([[&head, &word[HEAD..]].concat()])
         });
         singles.chain(headed).chain(self.said.chunks(WORDS).map(joined)).collect()
@@ -273,7 +276,7 @@
         let mut foyer = house(5, now);
         for frame in frames(input).into_iter().take(WORDS) {
             let [from, how, word @ ..] = frame else { continue };
-            let sound = [Form::FIRST.head(); HEAD];
+            let sound = [FormatVersion::V1.tag_byte(); HEAD];
             let head: &[u8] = if how % 8 == 0 { &[] } else { &sound };
             let bytes = &[head, word].concat()[..];
             let from = place(from % 6);
@@ -284,7 +287,8 @@
             signature.mark(
                 "head",
                 opened(bytes).map_or(0, |(form, newest, _)| {
-                    1 + u64::from(Forms::OWN.read(form)) + 2 * u64::from(Forms::OWN.read(newest))
+                    1 + u64::from(FormatRange::SUPPORTED.contains(form))
+                        + 2 * u64::from(FormatRange::SUPPORTED.contains(newest))
                 }),
             );
             let before = (foyer.script.index(), foyer.board.index(), foyer.cast.changes());
