--- a/crates/extras/src/world.rs
+++ b/crates/extras/src/world.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use cpu_time::ThreadTime;
-use garnetdoor::host::{Ending, TicketId, TripNo};
+use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
 use oorandom::Rand64;
 use peak_alloc::PeakAlloc;
 use playhouse::settings::Settings;
@@ -50,7 +50,7 @@
     Beat { instance: usize, life: u32 },
     Operator,
     Request { at: usize, run: u64 },
-    Answered { at: usize, run: u64, ticket: TicketId, trip: TripNo, ending: Ending },
+    Answered { at: usize, run: u64, ticket: RequestId, trip: AttemptNo, ending: AttemptOutcome },
     Phase(usize),
 }
 
@@ -397,7 +397,7 @@
             node::Did::Tell { ask, told } => self.told(at, ask, told),
             node::Did::Trip { ticket, trip } => {
                 let after = 20 * MS + self.span(0, 10 * MS);
-                let ending = Ending::Finished;
+                let ending = AttemptOutcome::Succeeded;
                 self.later(after, Event::Answered { at, run, ticket, trip, ending });
             }
             node::Did::Final { ticket } => {
--- a/crates/extras/src/world/callers.rs
+++ b/crates/extras/src/world/callers.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use cast::{Beat, InstanceId};
-use garnetdoor::host::{Ending, TicketId, TripNo};
+use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
 use playhouse::control::Told;
 use props::{Ask, MS, Micros, Place, SECOND, Version};
 use script::{Command, Outcome};
@@ -295,7 +295,7 @@
         let route =
             if self.phases[self.phase].0 == Phase::Trial { route / services * services } else { route };
         self.nodes[at].next_ticket += 1;
-        let ticket = TicketId(self.nodes[at].next_ticket);
+        let ticket = RequestId(self.nodes[at].next_ticket);
         let (service, name) = (text::service(route % self.size.services), text::route(route));
         self.play(at, kind::REQUEST, |node, now| node.came(now, ticket, &service, &name));
         let between = SECOND / Micros::from(self.size.requests.max(1));
@@ -303,7 +303,9 @@
         self.later(after, Event::Request { at, run });
     }
 
-    pub(super) fn answered(&mut self, at: usize, run: u64, ticket: TicketId, trip: TripNo, ending: Ending) {
+    pub(super) fn answered(
+        &mut self, at: usize, run: u64, ticket: RequestId, trip: AttemptNo, ending: AttemptOutcome,
+    ) {
         if self.nodes[at].run == run {
             self.play(at, kind::ANSWER, |node, now| {
                 let mut did = node.ended(now, ticket, trip, ending);
--- a/crates/extras/src/world/node.rs
+++ b/crates/extras/src/world/node.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use company::{Member, Part};
-use garnetdoor::host::{Ending, TicketId, TripNo};
+use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
 use playhouse::control::{self, Control, Told};
 use playhouse::floor::{self, Floor};
 use playhouse::house::{House, Letter};
@@ -28,8 +28,8 @@
     Send { to: Place, kind: usize, bytes: Vec<u8> },
     Write(Box<Write>),
     Tell { ask: Ask, told: Told },
-    Trip { ticket: TicketId, trip: TripNo },
-    Final { ticket: TicketId },
+    Trip { ticket: RequestId, trip: AttemptNo },
+    Final { ticket: RequestId },
 }
 
 impl Did {
@@ -202,18 +202,20 @@
         self.control(now, control::In::Written { no, ok: true })
     }
 
-    pub fn came(&mut self, now: Micros, ticket: TicketId, service: &str, route: &str) -> Vec<Did> {
+    pub fn came(&mut self, now: Micros, ticket: RequestId, service: &str, route: &str) -> Vec<Did> {
         let kind = bill::Kind::Safe;
         let left = 1_500_000;
         self.gateway(now, floor::In::Came { ticket, service, route, kind, left })
     }
 
-    pub fn ended(&mut self, now: Micros, ticket: TicketId, trip: TripNo, ending: Ending) -> Vec<Did> {
+    pub fn ended(
+        &mut self, now: Micros, ticket: RequestId, trip: AttemptNo, ending: AttemptOutcome,
+    ) -> Vec<Did> {
         let took = 30_000;
         self.gateway(now, floor::In::Ended { ticket, trip, took, ending, over: true })
     }
 
-    pub fn left(&mut self, now: Micros, ticket: TicketId) -> Vec<Did> {
+    pub fn left(&mut self, now: Micros, ticket: RequestId) -> Vec<Did> {
         self.gateway(now, floor::In::Left { ticket })
     }
 
--- a/crates/garnetdoor-adapter/src/host.rs
+++ b/crates/garnetdoor-adapter/src/host.rs
@@ -7,34 +7,34 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use garnetdoor::host::{
-    BuildNo, CellId, Condition, GatewayId, Host, KindId, Listing, Micros, ServerId, StageNo, TicketId,
-    TripNo, Vote, Wake, ZoneId,
+    AttemptNo, BuildNo, CellId, Condition, GatewayId, Host, MachineTypeId, Micros, RequestId, ServerId,
+    ServerInfo, StageNo, TimerKind, Vote, ZoneId,
 };
-use garnetdoor::names::Names;
+use garnetdoor::names::NameTable;
 
 /// An entry of a page, which belongs to no instance yet.
 pub struct Listed {
     pub name: String,
     pub build: BuildNo,
     pub zone: ZoneId,
-    pub kind: KindId,
+    pub machine_type: MachineTypeId,
     pub cell: CellId,
     pub condition: Condition,
-    pub size: f64,
+    pub capacity: f64,
     pub started: Option<Micros>,
 }
 
 impl Listed {
     /// The entry with the instance's own number for the server.
-    pub fn resolve(&self, handle: &Handle) -> Listing {
-        Listing {
+    pub fn resolve(&self, handle: &Handle) -> ServerInfo {
+        ServerInfo {
             server: handle.server(&self.name),
             build: self.build,
             zone: self.zone,
-            kind: self.kind,
+            machine_type: self.machine_type,
             cell: self.cell,
             condition: self.condition,
-            size: self.size,
+            capacity: self.capacity,
             started: self.started,
         }
     }
@@ -43,8 +43,8 @@
 struct Desk {
     id: u64,
     now: Micros,
-    tickets: Names,
-    servers: Names,
+    tickets: NameTable,
+    servers: NameTable,
     out: String,
 }
 
@@ -54,21 +54,21 @@
 
 const FIRST_TICKET: u64 = 3;
 
-fn handle_of(wake: Wake) -> u64 {
+fn handle_of(wake: TimerKind) -> u64 {
     match wake {
-        Wake::Vote => 0,
-        Wake::List => 1,
-        Wake::Beat => 2,
-        Wake::Ticket(ticket) => FIRST_TICKET + ticket.0,
+        TimerKind::Vote => 0,
+        TimerKind::ServerList => 1,
+        TimerKind::StallCheck => 2,
+        TimerKind::Request(ticket) => FIRST_TICKET + ticket.0,
     }
 }
 
-pub fn wake(handle: u64) -> Wake {
+pub fn wake(handle: u64) -> TimerKind {
     match handle {
-        0 => Wake::Vote,
-        1 => Wake::List,
-        2 => Wake::Beat,
-        _ => Wake::Ticket(TicketId(handle - FIRST_TICKET)),
+        0 => TimerKind::Vote,
+        1 => TimerKind::ServerList,
+        2 => TimerKind::StallCheck,
+        _ => TimerKind::Request(RequestId(handle - FIRST_TICKET)),
     }
 }
 
@@ -80,7 +80,13 @@
 
 impl Handle {
     pub fn new(id: u64, now: Micros) -> Self {
-        let desk = Desk { id, now, tickets: Names::default(), servers: Names::default(), out: String::new() };
+        let desk = Desk {
+            id,
+            now,
+            tickets: NameTable::default(),
+            servers: NameTable::default(),
+            out: String::new(),
+        };
         Handle(Rc::new(RefCell::new(desk)))
     }
 
@@ -88,12 +94,12 @@
         self.0.borrow_mut().now = now;
     }
 
-    pub fn ticket(&self, name: &str) -> TicketId {
-        TicketId(self.0.borrow_mut().tickets.number(name) as u64)
+    pub fn ticket(&self, name: &str) -> RequestId {
+        RequestId(self.0.borrow_mut().tickets.intern(name) as u64)
     }
 
     pub fn server(&self, name: &str) -> ServerId {
-        ServerId(self.0.borrow_mut().servers.number(name) as u32)
+        ServerId(self.0.borrow_mut().servers.intern(name) as u32)
     }
 
     /// Moves the lines written so far to the end of `reply`.
@@ -116,7 +122,7 @@
         desk.out.push('\n');
     }
 
-    fn ticket_name(&self, ticket: TicketId) -> Rc<str> {
+    fn ticket_name(&self, ticket: RequestId) -> Rc<str> {
         self.0.borrow().tickets.name(ticket.0 as usize)
     }
 
@@ -134,30 +140,30 @@
         self.0.borrow().now
     }
 
-    fn send_trip(&mut self, ticket: TicketId, server: ServerId, until: Option<Micros>) {
+    fn send_attempt(&mut self, ticket: RequestId, server: ServerId, until: Option<Micros>) {
         let until = until.map_or_else(|| "0".to_owned(), seconds);
         self.write("TRANSMIT", &[&self.ticket_name(ticket), &self.server_name(server), &until]);
     }
 
-    fn stop_trip(&mut self, ticket: TicketId, trip: TripNo) {
+    fn cancel_attempt(&mut self, ticket: RequestId, trip: AttemptNo) {
         self.write("STOP_ATTEMPT", &[&self.ticket_name(ticket), &trip.0]);
     }
 
-    fn turn_back(&mut self, ticket: TicketId, come_back_in: Option<Micros>) {
+    fn reject(&mut self, ticket: RequestId, come_back_in: Option<Micros>) {
         let wait = come_back_in.map_or_else(|| "0".to_owned(), seconds);
         self.write("SHED", &[&self.ticket_name(ticket), &wait]);
     }
 
-    fn forfeit(&mut self, ticket: TicketId) {
+    fn fail(&mut self, ticket: RequestId) {
         self.write("FINISH_ERROR", &[&self.ticket_name(ticket)]);
     }
 
-    fn vote(&mut self, build: BuildNo, stage: StageNo, vote: Vote) {
+    fn cast_vote(&mut self, build: BuildNo, stage: StageNo, vote: Vote) {
         let code = Vote::ALL.iter().position(|other| *other == vote).unwrap_or_default();
         self.write("CAST_VOTE", &[&build.0, &stage.0, &code]);
     }
 
-    fn wake_at(&mut self, at: Micros, wake: Wake) {
+    fn set_timer(&mut self, at: Micros, wake: TimerKind) {
         self.write("ARM", &[&seconds(at), &handle_of(wake)]);
     }
 
@@ -165,25 +171,25 @@
         self.write("ASK_LOAD", &[&self.server_name(server)]);
     }
 
-    fn tell_peers(&mut self, to: Option<GatewayId>, bytes: &[u8]) {
+    fn send_to_peers(&mut self, to: Option<GatewayId>, bytes: &[u8]) {
         let to = to.map_or_else(|| "all".to_owned(), |peer| peer.0.to_string());
         let data = if bytes.is_empty() { "-".to_owned() } else { BASE64.encode(bytes) };
         self.write("NOTIFY", &[&to, &data]);
     }
 
-    fn ask_list(&mut self) {
+    fn fetch_server_list(&mut self) {
         self.write("REFRESH", &[]);
     }
 
-    fn follow_list(&mut self, on: bool) {
+    fn watch_server_list(&mut self, on: bool) {
         self.write("KEEP_INFORMED", &[&u8::from(on)]);
     }
 
-    fn close_idle(&mut self, server: ServerId) {
+    fn close_idle_connections(&mut self, server: ServerId) {
         self.write("FREE_LINKS", &[&self.server_name(server)]);
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.write("NOTE_DOWN", &[&plain(text)]);
     }
 }
--- a/crates/garnetdoor-adapter/src/line.rs
+++ b/crates/garnetdoor-adapter/src/line.rs
@@ -1,6 +1,6 @@
 //! One line of the wire, taken apart field by field.
 
-use garnetdoor::host::{Micros, micros};
+use garnetdoor::host::{Micros, parse_seconds};
 
 /// What is wrong with a line, in plain words.
 pub struct Bad(pub String);
@@ -84,7 +84,7 @@
     }
 
     pub fn micros(&mut self, field: &str) -> Result<Micros, Bad> {
-        self.read(field, "a time in seconds", micros)
+        self.read(field, "a time in seconds", parse_seconds)
     }
 
     pub fn hex(&mut self, field: &str) -> Result<u64, Bad> {
--- a/crates/garnetdoor-adapter/src/main.rs
+++ b/crates/garnetdoor-adapter/src/main.rs
@@ -13,12 +13,12 @@
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
-use garnetdoor::balance::Balance;
+use garnetdoor::balance::Balancer;
 use garnetdoor::host::{
-    Arrival, BuildNo, CellId, Condition, Ending, GatewayId, KeyId, KindId, Micros, News, PartyId, Phase,
-    ProfileId, Settings, StageNo, Taken, Tally, TripNo, ZoneId,
+    Arrival, AttemptNo, AttemptOutcome, BuildNo, CellId, Condition, GatewayId, KeyId, MachineTypeId, Micros,
+    PartyId, ProfileId, RolloutPhase, RolloutStatus, Settings, StageNo, Tally, VoteResult, ZoneId,
 };
-use garnetdoor::names::by_word;
+use garnetdoor::names::value_of_name;
 
 use host::{Handle, Listed};
 use line::{Bad, Line};
@@ -26,7 +26,7 @@
 /// One gateway; `None` in place of its decisions once they have panicked.
 struct Instance {
     handle: Handle,
-    decisions: Option<Balance<Handle>>,
+    decisions: Option<Balancer<Handle>>,
 }
 
 #[derive(Default)]
@@ -137,7 +137,7 @@
         let settings: Settings = pairs.into_iter().collect();
         let handle = Handle::new(id, self.now);
         let mine = handle.clone();
-        let made = catch_unwind(AssertUnwindSafe(move || Balance::start(mine, seed, settings)));
+        let made = catch_unwind(AssertUnwindSafe(move || Balancer::start(mine, seed, settings)));
         let made = made.map_err(|panic| handle.exception(&panic_text(&*panic))).ok();
         handle.drain(&mut self.reply);
         self.instances.insert(id, Instance { handle, decisions: made });
@@ -169,7 +169,7 @@
     text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("the decisions panicked").to_owned()
 }
 
-type Call = Box<dyn FnOnce(&mut Balance<Handle>)>;
+type Call = Box<dyn FnOnce(&mut Balancer<Handle>)>;
 
 /// Reads one event whole, then hands back the call that it stands for.
 fn decode(line: &mut Line, handle: &Handle, pages: &BTreeMap<u64, Rc<Vec<Listed>>>) -> Result<Call, Bad> {
@@ -181,38 +181,38 @@
                 profile: ProfileId(line.whole("qos")? as usize),
                 cost: line.maybe("effort", |line, field| line.micros(field))?,
                 key: line.maybe("entity", |line, field| line.hex(field))?.map(KeyId),
-                left: line.micros("left")?,
+                time_left: line.micros("left")?,
                 writes: line.flag("write")?,
-                repeat: line.flag("retry")?,
+                is_retry: line.flag("retry")?,
                 party: line
                     .maybe("user_group", |line, field| line.whole(field))?
                     .map(|n| PartyId(n as usize)),
             };
-            Box::new(move |gate| gate.ticket_came(ticket, arrival))
+            Box::new(move |gate| gate.request_arrived(ticket, arrival))
         }
         "STARTED" => {
             let ticket = handle.ticket(line.need("op_id")?);
-            let trip = TripNo(line.whole("hop")? as u32);
+            let trip = AttemptNo(line.whole("hop")? as u32);
             let (_server, _took) = (line.need("instance")?, line.micros("latency")?);
-            Box::new(move |gate| gate.answer_began(ticket, trip))
+            Box::new(move |gate| gate.response_started(ticket, trip))
         }
         "FINISHED" => {
             let ticket = handle.ticket(line.need("op_id")?);
-            let trip = TripNo(line.whole("hop")? as u32);
+            let trip = AttemptNo(line.whole("hop")? as u32);
             let took = line.micros("latency")?;
             let ending = ending(line)?;
             let _server = line.need("instance")?;
             let over = line.flag("done_flag")?;
             let load = line.row("feedback")?;
-            Box::new(move |gate| gate.trip_ended(ticket, trip, took, ending, over, &load))
+            Box::new(move |gate| gate.attempt_ended(ticket, trip, took, ending, over, &load))
         }
         "WITHDRAWN" => {
             let ticket = handle.ticket(line.need("op_id")?);
-            Box::new(move |gate| gate.client_left(ticket))
+            Box::new(move |gate| gate.client_disconnected(ticket))
         }
         "TICK_DUE" => {
             let wake = host::wake(line.whole("handle")?);
-            Box::new(move |gate| gate.woke(wake))
+            Box::new(move |gate| gate.timer_fired(wake))
         }
         "CHECKED" => {
             let server = handle.server(line.need("instance")?);
@@ -225,17 +225,17 @@
                 None => Vec::new(),
                 Some(text) => BASE64.decode(text).map_err(|_| line.bad("data", "not base64"))?,
             };
-            Box::new(move |gate| gate.peer_told(from, &bytes))
+            Box::new(move |gate| gate.peer_message_received(from, &bytes))
         }
         "TRIAL_NEWS" => news(line)?,
         "SCORECARD" => {
-            let trips = line.whole("samples")?;
-            let mean = line.maybe("latency", |line, field| line.micros(field))?;
+            let attempts = line.whole("samples")?;
+            let mean_latency = line.maybe("latency", |line, field| line.micros(field))?;
             let profile = ProfileId(line.whole("qos")? as usize);
             let age = line.micros("since")?;
             let build = BuildNo(line.whole("build_no")? as u32);
-            let tally = Tally { build, profile, trips, failed: line.whole("lost")?, mean, age };
-            Box::new(move |gate| gate.tally_came(tally))
+            let tally = Tally { build, profile, attempts, failed: line.whole("lost")?, mean_latency, age };
+            Box::new(move |gate| gate.tally_received(tally))
         }
         "RETURNED" => {
             let server = handle.server(line.need("instance")?);
@@ -249,7 +249,7 @@
 fn list(line: &mut Line, handle: &Handle, pages: &BTreeMap<u64, Rc<Vec<Listed>>>) -> Result<Call, Bad> {
     let scope = line.need("scope")?;
     if scope == "FAILED" {
-        return Ok(Box::new(|gate| gate.list_failed()));
+        return Ok(Box::new(|gate| gate.server_list_failed()));
     }
     if !["INCREMENTAL", "FULL", "SAVED"].contains(&scope) {
         return Err(line.bad("scope", "not INCREMENTAL, FULL, SAVED or FAILED"));
@@ -260,8 +260,8 @@
     let _version = line.need("gen")?;
     // A saved list is a whole one, if an old one.
     Ok(match scope {
-        "INCREMENTAL" => Box::new(move |gate| gate.list_changed(entries)),
-        _ => Box::new(move |gate| gate.list_came(entries)),
+        "INCREMENTAL" => Box::new(move |gate| gate.server_list_updated(entries)),
+        _ => Box::new(move |gate| gate.server_list_replaced(entries)),
     })
 }
 
@@ -269,27 +269,27 @@
     let name = line.need("instance")?.to_owned();
     let build = BuildNo(line.count("release")? as u32);
     let zone = ZoneId(line.whole("region_part")? as usize);
-    let kind = KindId(line.whole("family_type")? as usize);
+    let machine_type = MachineTypeId(line.whole("family_type")? as usize);
     let cell = CellId(line.whole("group")?);
     let words = ["healthy", "cordoned", "deregistered"];
-    let condition = by_word(Condition::ALL, words, line.need("condition")?);
+    let condition = value_of_name(Condition::ALL, words, line.need("condition")?);
     let condition =
         condition.ok_or_else(|| line.bad("condition", "not healthy, cordoned or deregistered"))?;
-    let size = line.number("nominal")?;
+    let capacity = line.number("nominal")?;
     let started = line.maybe("launched", |line, field| line.micros(field))?.filter(|at| *at != 0);
-    Ok(Listed { name, build, zone, kind, cell, condition, size, started })
+    Ok(Listed { name, build, zone, machine_type, cell, condition, capacity, started })
 }
 
-fn ending(line: &mut Line) -> Result<Ending, Bad> {
+fn ending(line: &mut Line) -> Result<AttemptOutcome, Bad> {
     Ok(match line.whole("verdict")? {
-        0 => Ending::Error,
-        1 => Ending::Finished,
-        2 => Ending::Full,
-        3 => Ending::TimedOut,
-        4 => Ending::ConnectFailed,
-        5 => Ending::Reset,
-        6 => Ending::Stopped,
-        7 => Ending::NeverSent,
+        0 => AttemptOutcome::Error,
+        1 => AttemptOutcome::Succeeded,
+        2 => AttemptOutcome::Rejected,
+        3 => AttemptOutcome::TimedOut,
+        4 => AttemptOutcome::ConnectFailed,
+        5 => AttemptOutcome::Reset,
+        6 => AttemptOutcome::Cancelled,
+        7 => AttemptOutcome::NeverSent,
         _ => return Err(line.bad("verdict", "not 0 to 7")),
     })
 }
@@ -300,16 +300,16 @@
     let progress = line.maybe("progress", |line, field| line.whole(field))?;
     let reply = line.whole("code")? == 1;
     let taken = match line.whole("verdict")? {
-        1 => Taken::Counted,
-        7 => Taken::Moot,
-        2 => Taken::Full,
-        0 => Taken::Error,
-        3 => Taken::Unknown,
+        1 => VoteResult::Counted,
+        7 => VoteResult::Moot,
+        2 => VoteResult::Full,
+        0 => VoteResult::Error,
+        3 => VoteResult::Unknown,
         _ => return Err(line.bad("verdict", "not 0, 1, 2, 3 or 7")),
     };
     let cap = line.maybe("exposure", |line, field| line.number(field))?;
     let age = line.maybe("since", |line, field| line.micros(field))?;
-    if taken != Taken::Counted {
+    if taken != VoteResult::Counted {
         // The other fields hold only where the platform answered.
         return Ok(Box::new(move |gate| {
             if reply {
@@ -318,17 +318,17 @@
         }));
     }
     let need = |what: Option<u64>, field| what.ok_or_else(|| line.bad(field, "absent"));
-    let phase = Phase::ALL.get(need(progress, "progress")? as usize).copied();
+    let phase = RolloutPhase::ALL.get(need(progress, "progress")? as usize).copied();
     let phase = phase.ok_or_else(|| line.bad("progress", "not 0 to 3"))?;
-    let news = News {
+    let news = RolloutStatus {
         build: BuildNo(need(build, "build_no")? as u32),
         stage: StageNo(need(stage, "ring")? as usize),
         phase,
-        cap: cap.ok_or_else(|| line.bad("exposure", "absent"))?,
+        exposure_cap: cap.ok_or_else(|| line.bad("exposure", "absent"))?,
         age: age.ok_or_else(|| line.bad("since", "absent"))?,
     };
     Ok(Box::new(move |gate| {
-        gate.news_came(news);
+        gate.rollout_updated(news);
         if reply {
             gate.vote_answered(taken);
         }
--- a/crates/garnetdoor-gateway/src/config.rs
+++ b/crates/garnetdoor-gateway/src/config.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use garnetdoor::host::{News, Settings};
+use garnetdoor::host::{RolloutStatus, Settings};
 use serde_json::Value;
 
 use crate::wire::platform;
@@ -44,7 +44,7 @@
     pub settings: Settings,
     /// The list as this gateway last had it, in the list service's form.
     pub known: Option<Value>,
-    pub news: Option<News>,
+    pub news: Option<RolloutStatus>,
     /// Where a variable has overruled the file.
     pub overruled: Vec<String>,
 }
@@ -206,7 +206,7 @@
     }
 }
 
-fn news(value: &Value) -> Option<News> {
+fn news(value: &Value) -> Option<RolloutStatus> {
     let fields = value.as_object()?;
     let texts: Vec<(&str, String)> =
         fields.iter().map(|(name, value)| (name.as_str(), plain(value))).collect();
@@ -216,7 +216,7 @@
 /// A plain value as the settings' map holds it.
 fn plain(value: &Value) -> String {
     match value {
-        Value::String(text) => Settings::plain(text),
+        Value::String(text) => Settings::sanitize(text),
         other => other.to_string(),
     }
 }
--- a/crates/garnetdoor-gateway/src/memory/conns.rs
+++ b/crates/garnetdoor-gateway/src/memory/conns.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use garnetdoor::host::{Micros, ServerId, TicketId, TripNo};
+use garnetdoor::host::{AttemptNo, Micros, RequestId, ServerId};
 
 use super::desk::{CLIENT_ASKS, Desk, MS, SECOND};
 use super::ticket::Process;
@@ -23,14 +23,14 @@
 /// What a connection to a server is busy with.
 #[derive(Clone, Copy)]
 pub enum Work {
-    Trip(TicketId, TripNo),
+    Trip(RequestId, AttemptNo),
     Probe(Micros),
 }
 
 /// What a connection is for.
 pub enum Kind {
     Client {
-        ticket: Option<TicketId>,
+        ticket: Option<RequestId>,
         /// Nothing more is read from it.
         last: bool,
         /// It is one too many: its ticket is turned back unseen.
--- a/crates/garnetdoor-gateway/src/memory/desk.rs
+++ b/crates/garnetdoor-gateway/src/memory/desk.rs
@@ -3,8 +3,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use garnetdoor::host::{Ending, GatewayId, Micros, Refusal, ServerId, Taken, TicketId, TripNo};
-use garnetdoor::names::Names;
+use garnetdoor::host::{
+    AttemptNo, AttemptOutcome, GatewayId, Micros, Refusal, RequestId, ServerId, VoteResult,
+};
+use garnetdoor::names::NameTable;
 
 use super::conns::{Conn, Kind};
 use super::refusals::{Cause, Refusals, SUMMARY_AFTER};
@@ -43,9 +45,9 @@
 
 /// What the decisions must still hear.
 pub enum Told {
-    Trip(TicketId, TripNo, Ending, Vec<Option<f64>>),
-    Probe(ServerId, Ending, Micros, Vec<Option<f64>>),
-    Vote(Taken),
+    Trip(RequestId, AttemptNo, AttemptOutcome, Vec<Option<f64>>),
+    Probe(ServerId, AttemptOutcome, Micros, Vec<Option<f64>>),
+    Vote(VoteResult),
     ListFailed,
 }
 
@@ -56,7 +58,7 @@
     pub told: VecDeque<Told>,
     pub timers: Timers,
     pub conns: BTreeMap<ConnId, Conn>,
-    pub tickets: BTreeMap<TicketId, Ticket>,
+    pub tickets: BTreeMap<RequestId, Ticket>,
     pub servers: BTreeMap<ServerId, Place>,
     pub profiles: Profiles,
     pub words: Words,
@@ -66,7 +68,7 @@
     pub stopping: bool,
     pub listening: bool,
     pub max_open: usize,
-    pub(super) names: Names,
+    pub(super) names: NameTable,
     pub(super) refusals: Refusals,
     pub(super) version: u64,
     /// The decisions want the list followed.
@@ -119,7 +121,7 @@
             stopping: false,
             listening: true,
             max_open: count("policy_limits.max_open"),
-            names: Names::default(),
+            names: NameTable::default(),
             refusals: Refusals::default(),
             version: 0,
             follows: false,
@@ -183,8 +185,8 @@
     // ---- clients and tickets ----
 
     /// Takes in a ticket under a number of its own.
-    pub fn new_ticket(&mut self, ticket: Ticket) -> TicketId {
-        let id = TicketId(self.next_ticket);
+    pub fn new_ticket(&mut self, ticket: Ticket) -> RequestId {
+        let id = RequestId(self.next_ticket);
         self.next_ticket += 1;
         self.tickets.insert(id, ticket);
         id
@@ -243,7 +245,7 @@
     }
 
     /// Gives a ticket its final answer, if it has none and its client is there.
-    pub fn finish(&mut self, id: TicketId, bytes: impl FnOnce(bool) -> Vec<u8>) {
+    pub fn finish(&mut self, id: RequestId, bytes: impl FnOnce(bool) -> Vec<u8>) {
         let client = self.tickets.get_mut(&id).and_then(|ticket| ticket.client.take());
         if let Some(client) = client {
             let last = self.is_last(client);
@@ -252,7 +254,7 @@
     }
 
     /// Forgets a ticket that is over, has no trip out and none that the decisions must still hear of.
-    pub fn tidy(&mut self, id: TicketId) {
+    pub fn tidy(&mut self, id: RequestId) {
         let over = |ticket: &Ticket| ticket.client.is_none() && ticket.trips.iter().all(|t| t.ended);
         let untold = self.told.iter().any(|told| matches!(told, Told::Trip(ticket, ..) if *ticket == id));
         if !untold && self.tickets.get(&id).is_some_and(over) {
@@ -262,13 +264,15 @@
     }
 
     /// A trip that is still out.
-    pub(super) fn out(&mut self, id: TicketId, trip: TripNo) -> Option<&mut Trip> {
+    pub(super) fn out(&mut self, id: RequestId, trip: AttemptNo) -> Option<&mut Trip> {
         let trip = self.tickets.get_mut(&id)?.trips.get_mut(trip.0 as usize)?;
         (!trip.ended).then_some(trip)
     }
 
     /// Ends a trip that is out: the decisions hear of it, and its connection carries nothing else.
-    pub fn trip_over(&mut self, id: TicketId, trip: TripNo, ending: Ending, load: Vec<Option<f64>>) {
+    pub fn trip_over(
+        &mut self, id: RequestId, trip: AttemptNo, ending: AttemptOutcome, load: Vec<Option<f64>>,
+    ) {
         let Some(found) = self.out(id, trip) else { return };
         found.ended = true;
         if let Some(due) = found.due.take() {
@@ -278,7 +282,7 @@
     }
 
     /// Gives a trip up: its connection is closed.
-    pub fn give_up(&mut self, id: TicketId, trip: TripNo, ending: Ending, reason: Reason) {
+    pub fn give_up(&mut self, id: RequestId, trip: AttemptNo, ending: AttemptOutcome, reason: Reason) {
         let Some(on) = self.out(id, trip).map(|trip| trip.on) else { return };
         if let Some(on) = on {
             self.close(on, reason);
--- a/crates/garnetdoor-gateway/src/memory/host.rs
+++ b/crates/garnetdoor-gateway/src/memory/host.rs
@@ -5,7 +5,8 @@
 use std::rc::Rc;
 
 use garnetdoor::host::{
-    BuildNo, Ending, GatewayId, Host, Micros, Refusal, ServerId, StageNo, Taken, TicketId, TripNo, Vote, Wake,
+    AttemptNo, AttemptOutcome, BuildNo, GatewayId, Host, Micros, Refusal, RequestId, ServerId, StageNo,
+    TimerKind, Vote, VoteResult,
 };
 
 use super::conns::{Kind, Work};
@@ -28,18 +29,18 @@
         self.0.borrow().now
     }
 
-    fn send_trip(&mut self, id: TicketId, server: ServerId, until: Option<Micros>) {
+    fn send_attempt(&mut self, id: RequestId, server: ServerId, until: Option<Micros>) {
         let desk = &mut *self.0.borrow_mut();
         let now = desk.now;
         let Some(ticket) = desk.tickets.get_mut(&id) else { return };
-        let trip = TripNo(ticket.trips.len() as u32);
+        let trip = AttemptNo(ticket.trips.len() as u32);
         let until = until.unwrap_or(ticket.until).min(ticket.until);
         let allowed = ticket.client.is_some() && now < until && ticket.trips.len() < desk.tries;
         ticket.trips.push(Trip { server, sent: now, on: None, due: None, ended: false });
         let address = desk.servers.get(&server).map(|place| place.process.address).filter(|_| allowed);
         let message = address.map(|address| instance::trip(&ticket.request, address, until - now));
         let Some(message) = message else {
-            return desk.trip_over(id, trip, Ending::NeverSent, Vec::new());
+            return desk.trip_over(id, trip, AttemptOutcome::NeverSent, Vec::new());
         };
         desk.session_sent(id, server);
         desk.carry(server, Work::Trip(id, trip), message, until);
@@ -49,34 +50,34 @@
         }
     }
 
-    fn has_room(&self, ticket: TicketId, server: ServerId, build: BuildNo) -> bool {
+    fn has_capacity(&self, ticket: RequestId, server: ServerId, build: BuildNo) -> bool {
         self.0.borrow().session_has_room(ticket, server, build)
     }
 
-    fn stop_trip(&mut self, id: TicketId, trip: TripNo) {
-        self.0.borrow_mut().give_up(id, trip, Ending::Stopped, Reason::Stopped);
+    fn cancel_attempt(&mut self, id: RequestId, trip: AttemptNo) {
+        self.0.borrow_mut().give_up(id, trip, AttemptOutcome::Cancelled, Reason::Stopped);
     }
 
-    fn turn_back(&mut self, id: TicketId, come_back_in: Option<Micros>) {
+    fn reject(&mut self, id: RequestId, come_back_in: Option<Micros>) {
         self.0.borrow_mut().finish(id, |last| client::turned_back(come_back_in, last));
     }
 
-    fn forfeit(&mut self, id: TicketId) {
+    fn fail(&mut self, id: RequestId) {
         self.0.borrow_mut().finish(id, client::forfeited);
     }
 
-    fn vote(&mut self, build: BuildNo, stage: StageNo, vote: Vote) {
+    fn cast_vote(&mut self, build: BuildNo, stage: StageNo, vote: Vote) {
         let desk = &mut *self.0.borrow_mut();
         let calls = desk.conns.values().filter(|conn| matches!(conn.kind, Kind::Vote)).count();
         let message = platform::vote(desk.platform, build, stage, vote);
         let due = desk.now + desk.vote_wait;
         desk.log(format!("vote build={} stage={} {vote:?}", build.0, stage.0));
         if calls >= CALLS_MOST || desk.dial(desk.platform, Kind::Vote, message, due).is_none() {
-            desk.told.push_back(Told::Vote(Taken::Error));
+            desk.told.push_back(Told::Vote(VoteResult::Error));
         }
     }
 
-    fn wake_at(&mut self, at: Micros, wake: Wake) {
+    fn set_timer(&mut self, at: Micros, wake: TimerKind) {
         self.0.borrow_mut().timers.set(at, Timer::Wake(wake));
     }
 
@@ -86,11 +87,11 @@
         let due = now + desk.dial_within;
         match address {
             Some(at) => desk.carry(server, Work::Probe(now), instance::probe(at), due),
-            None => desk.told.push_back(Told::Probe(server, Ending::NeverSent, 0, Vec::new())),
+            None => desk.told.push_back(Told::Probe(server, AttemptOutcome::NeverSent, 0, Vec::new())),
         }
     }
 
-    fn tell_peers(&mut self, to: Option<GatewayId>, bytes: &[u8]) {
+    fn send_to_peers(&mut self, to: Option<GatewayId>, bytes: &[u8]) {
         let desk = &mut *self.0.borrow_mut();
         let address = match to {
             Some(peer) => desk.peers.get(peer.0).copied(),
@@ -101,7 +102,7 @@
         }
     }
 
-    fn ask_list(&mut self) {
+    fn fetch_server_list(&mut self) {
         let desk = &mut *self.0.borrow_mut();
         let due = desk.list_due();
         if desk.dial(desk.discovery, Kind::List, discovery::whole(desk.discovery), due).is_none() {
@@ -109,7 +110,7 @@
         }
     }
 
-    fn follow_list(&mut self, on: bool) {
+    fn watch_server_list(&mut self, on: bool) {
         let desk = &mut *self.0.borrow_mut();
         desk.follows = on;
         match (on, desk.watch) {
@@ -126,15 +127,15 @@
         }
     }
 
-    fn close_idle(&mut self, server: ServerId) {
+    fn close_idle_connections(&mut self, server: ServerId) {
         self.0.borrow_mut().close_all_idle(server, Reason::Asked);
     }
 
-    fn refused(&mut self, _: TicketId, why: Refusal) {
+    fn request_refused(&mut self, _: RequestId, why: Refusal) {
         self.0.borrow_mut().refused(why);
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.0.borrow_mut().log(text.to_owned());
     }
 }
--- a/crates/garnetdoor-gateway/src/memory/reducer.rs
+++ b/crates/garnetdoor-gateway/src/memory/reducer.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use garnetdoor::balance::Balance;
-use garnetdoor::host::{Condition, Ending, Host, Micros, News, Taken};
+use garnetdoor::balance::Balancer;
+use garnetdoor::host::{AttemptOutcome, Condition, Host, Micros, RolloutStatus, VoteResult};
 use garnetdoor_operator::Operator;
 
 use super::conns::{Conn, Kind, Work};
@@ -41,7 +41,7 @@
 
 /// The decisions and the state, changed by events alone.
 pub struct Reducer {
-    pub(super) gate: Balance<Handle>,
+    pub(super) gate: Balancer<Handle>,
     pub(super) desk: Rc<RefCell<Desk>>,
     seed: u64,
 }
@@ -53,7 +53,7 @@
         let mut desk = Desk::new(now, config);
         desk.operate(operator.clone(), config.seed);
         let desk = Rc::new(RefCell::new(desk));
-        let gate = Balance::start(Handle(desk.clone()), config.seed, config.settings.clone());
+        let gate = Balancer::start(Handle(desk.clone()), config.seed, config.settings.clone());
         let mut reducer = Reducer { gate, desk, seed: config.seed };
         let known = config.known.as_ref().map(|known| discovery::list_of(known, &reducer.desk().words));
         match known {
@@ -62,7 +62,7 @@
             None => {}
         }
         if let Some(news) = config.news {
-            reducer.gate.news_came(news);
+            reducer.gate.rollout_updated(news);
         }
         reducer.desk().ask_notices();
         reducer.settle();
@@ -97,7 +97,7 @@
                 // Gateways are known by their addresses; whoever else sends is no peer.
                 let peer = self.desk().peer(from);
                 match peer {
-                    Some(peer) => self.gate.peer_told(peer, &bytes),
+                    Some(peer) => self.gate.peer_message_received(peer, &bytes),
                     None => self.desk().log(format!("datagram from {from} left out")),
                 }
             }
@@ -149,22 +149,24 @@
                     let took = desk.now - ticket.trips[trip.0 as usize].sent;
                     let over = ticket.client.is_none();
                     drop(desk);
-                    self.gate.trip_ended(id, trip, took, ending, over, &load);
+                    self.gate.attempt_ended(id, trip, took, ending, over, &load);
                     self.desk().tidy(id);
                 }
                 Some(Told::Probe(server, ending, took, load)) => {
                     self.gate.probe_ended(server, ending, took, &load);
                 }
                 Some(Told::Vote(taken)) => self.gate.vote_answered(taken),
-                Some(Told::ListFailed) => self.gate.list_failed(),
+                Some(Told::ListFailed) => self.gate.server_list_failed(),
             }
         }
     }
 
     fn timer(&mut self, timer: Timer) {
         match timer {
-            Timer::Wake(wake) => self.gate.woke(wake),
-            Timer::Trip(id, trip) => self.desk().give_up(id, trip, Ending::TimedOut, Reason::TimedOut),
+            Timer::Wake(wake) => self.gate.timer_fired(wake),
+            Timer::Trip(id, trip) => {
+                self.desk().give_up(id, trip, AttemptOutcome::TimedOut, Reason::TimedOut)
+            }
             Timer::Conn(id) => {
                 let due = self.desk().is_due(id);
                 if due {
@@ -183,7 +185,7 @@
             }
             // Guards against tickets whose clients wait longer than there is time to stop: an end without their
             // answers loses them all. Harm: those that would have been finished in the last 0.1 s are not.
-            Timer::AnswerAll => self.gate.stops(),
+            Timer::AnswerAll => self.gate.stop(),
             Timer::Exit => self.desk().effects.push(Effect::Exit),
         }
     }
@@ -204,11 +206,11 @@
     }
 
     /// The platform told its state.
-    fn news_came(&mut self, news: News) {
+    fn news_came(&mut self, news: RolloutStatus) {
         if let Some(room) = &mut self.desk().room {
             room.stale = true;
         }
-        self.gate.news_came(news);
+        self.gate.rollout_updated(news);
     }
 
     /// The services have these addresses from now on. What was known stays until told otherwise. The old
@@ -241,7 +243,7 @@
             self.desk().ask_notices();
         }
         if follows {
-            Handle(self.desk.clone()).follow_list(true);
+            Handle(self.desk.clone()).watch_server_list(true);
         }
     }
 
@@ -260,7 +262,7 @@
             let meant = |place: &Place| place.condition == Condition::Healthy && place.process == process;
             if !desk.servers.get(&server).is_some_and(meant) {
                 if let Work::Trip(ticket, trip) = work {
-                    desk.give_up(ticket, trip, Ending::ConnectFailed, Reason::Unlisted);
+                    desk.give_up(ticket, trip, AttemptOutcome::ConnectFailed, Reason::Unlisted);
                 }
                 return;
             }
@@ -365,12 +367,12 @@
                     ticket.client = None;
                 }
                 drop(desk);
-                self.gate.client_left(ticket);
+                self.gate.client_disconnected(ticket);
                 self.desk().tidy(ticket);
             }
             Kind::Server { server, work: Some(work), .. } => {
                 // Before the last byte is written it has not run; after that it may have.
-                let ending = if unwritten { Ending::ConnectFailed } else { Ending::Reset };
+                let ending = if unwritten { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Reset };
                 match work {
                     Work::Trip(ticket, trip) => desk.trip_over(ticket, trip, ending, Vec::new()),
                     Work::Probe(sent) => desk.told.push_back(Told::Probe(server, ending, now - sent, vec![])),
@@ -378,7 +380,7 @@
             }
             Kind::List | Kind::Watch(_) => desk.told.push_back(Told::ListFailed),
             Kind::Vote => {
-                let taken = if unwritten { Taken::Error } else { Taken::Unknown };
+                let taken = if unwritten { VoteResult::Error } else { VoteResult::Unknown };
                 desk.told.push_back(Told::Vote(taken));
             }
             Kind::Notices(_) => desk.ask_notices_later(),
@@ -451,7 +453,7 @@
                         self.sessions();
                         desk = self.desk();
                     }
-                    let until = desk.until(arrival.left);
+                    let until = desk.until(arrival.time_left);
                     let ticket = Ticket { client: Some(id), request, until, trips: Vec::new() };
                     let number = desk.new_ticket(ticket);
                     session.into_iter().for_each(|session| desk.opens(session, number));
@@ -462,7 +464,7 @@
                     }
                     desk.due_at(id, None);
                     drop(desk);
-                    self.gate.ticket_came(number, arrival);
+                    self.gate.request_arrived(number, arrival);
                     self.desk().tidy(number);
                 }
             }
@@ -534,11 +536,11 @@
                         desk.told.push_back(Told::Probe(server, ending, now - sent, load));
                     }
                     Work::Trip(ticket, trip) => {
-                        if ending == Ending::Finished && desk.is_upgrade(ticket) {
+                        if ending == AttemptOutcome::Succeeded && desk.is_upgrade(ticket) {
                             // It has run, and there is no session.
-                            ending = Ending::Error;
+                            ending = AttemptOutcome::Error;
                         }
-                        if ending == Ending::Finished {
+                        if ending == AttemptOutcome::Succeeded {
                             desk.finish(ticket, |last| client::finished(&answer.body, last));
                         }
                         desk.trip_over(ticket, trip, ending, load);
@@ -582,8 +584,8 @@
         let whole = list.whole;
         let listings = self.desk().take_list(list);
         match listings {
-            Some(listings) if whole => self.gate.list_came(listings),
-            Some(listings) => self.gate.list_changed(listings),
+            Some(listings) if whole => self.gate.server_list_replaced(listings),
+            Some(listings) => self.gate.server_list_updated(listings),
             None => {}
         }
     }
--- a/crates/garnetdoor-gateway/src/memory/refusals.rs
+++ b/crates/garnetdoor-gateway/src/memory/refusals.rs
@@ -36,7 +36,7 @@
     fn line(&self) -> String {
         let code = self.code();
         match self {
-            Cause::Decided(Refusal::TooLate { expected, allowed, out, .. }, server) => {
+            Cause::Decided(Refusal::TooLate { expected, allowed, in_flight: out, .. }, server) => {
                 let server = server.map_or_else(|| "unlisted".to_owned(), |server| server.to_string());
                 format!(
                     "refused for={code} server={server} expected_us={expected} allowed_us={allowed} out={out}"
--- a/crates/garnetdoor-gateway/src/memory/servers.rs
+++ b/crates/garnetdoor-gateway/src/memory/servers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use garnetdoor::host::{Condition, Ending, Listing, Micros, ServerId};
+use garnetdoor::host::{AttemptOutcome, Condition, Micros, ServerId, ServerInfo};
 
 use super::conns::{Kind, Work};
 use super::desk::{Desk, MS, Told};
@@ -23,9 +23,11 @@
                 }
             }
             (Some(id), Work::Probe(_)) => self.due_at(id, Some(due)),
-            (None, Work::Trip(ticket, trip)) => self.trip_over(ticket, trip, Ending::NeverSent, Vec::new()),
+            (None, Work::Trip(ticket, trip)) => {
+                self.trip_over(ticket, trip, AttemptOutcome::NeverSent, Vec::new())
+            }
             (None, Work::Probe(_)) => {
-                self.told.push_back(Told::Probe(server, Ending::NeverSent, 0, Vec::new()));
+                self.told.push_back(Told::Probe(server, AttemptOutcome::NeverSent, 0, Vec::new()));
             }
         }
     }
@@ -89,7 +91,7 @@
     }
 
     /// Takes a list in; `None` if it is older than what is known.
-    pub fn take_list(&mut self, list: List) -> Option<Vec<Listing>> {
+    pub fn take_list(&mut self, list: List) -> Option<Vec<ServerInfo>> {
         for fault in &list.faults {
             self.log(format!("list entry left out: {fault}"));
         }
@@ -104,15 +106,15 @@
         }
         let mut listings = Vec::new();
         for entry in list.entries {
-            let server = ServerId(self.names.number(&entry.name) as u32);
-            let Listing { condition, build, started, .. } = entry.listing;
+            let server = ServerId(self.names.intern(&entry.name) as u32);
+            let ServerInfo { condition, build, started, .. } = entry.listing;
             let process = Process { address: entry.address, build, started };
             if self.servers.get(&server).is_some_and(|place| place.process != process) {
                 self.close_all_idle(server, Reason::Unlisted);
             }
             let place = self.servers.entry(server).or_insert(Place { process, condition, idle: Vec::new() });
             (place.process, place.condition) = (process, condition);
-            listings.push(Listing { server, ..entry.listing });
+            listings.push(ServerInfo { server, ..entry.listing });
         }
         let unlisted = self.servers.iter().filter(|(_, place)| place.condition != Condition::Healthy);
         for server in unlisted.map(|(server, _)| *server).collect::<Vec<_>>() {
--- a/crates/garnetdoor-gateway/src/memory/sessions.rs
+++ b/crates/garnetdoor-gateway/src/memory/sessions.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
-use garnetdoor::host::{Arrival, BuildNo, Condition, Ending, Micros, ProfileId, ServerId, TicketId, TripNo};
+use garnetdoor::host::{
+    Arrival, AttemptNo, AttemptOutcome, BuildNo, Condition, Micros, ProfileId, RequestId, ServerId,
+};
 use garnetdoor_operator::{Operator, Websocket};
 use garnetdoor_sessions::{Act, Admission, End, Key, Opening, Party, Repeats, SessionId, Sessions, Side};
 
@@ -20,7 +22,7 @@
 
 /// A session's ticket and connections.
 struct Lines {
-    ticket: TicketId,
+    ticket: RequestId,
     /// Once it is open: the client's and the server's.
     conns: Option<[ConnId; 2]>,
     gone: [bool; 2],
@@ -33,7 +35,7 @@
     pub sessions: Sessions,
     /// What the operator file says; `None` once a reload took the section out.
     pub settings: Option<Websocket>,
-    by_ticket: BTreeMap<TicketId, SessionId>,
+    by_ticket: BTreeMap<RequestId, SessionId>,
     by_conn: BTreeMap<ConnId, (SessionId, Side)>,
     lines: BTreeMap<SessionId, Lines>,
     /// Where clients connect from.
@@ -121,7 +123,7 @@
     }
 
     /// The ticket of an upgrade that was admitted.
-    pub fn opens(&mut self, session: SessionId, ticket: TicketId) {
+    pub fn opens(&mut self, session: SessionId, ticket: RequestId) {
         if let Some(room) = &mut self.room {
             room.by_ticket.insert(ticket, session);
             room.lines.insert(session, Lines { ticket, conns: None, gone: [false; 2], join: None });
@@ -129,18 +131,18 @@
     }
 
     /// Whether a ticket is an upgrade.
-    pub fn is_upgrade(&self, ticket: TicketId) -> bool {
+    pub fn is_upgrade(&self, ticket: RequestId) -> bool {
         self.tickets.get(&ticket).is_some_and(|ticket| ticket.request.upgrade.is_some())
     }
 
     /// Whether a ticket's session, if it leaves one, may stand there.
-    pub(super) fn session_has_room(&self, ticket: TicketId, server: ServerId, build: BuildNo) -> bool {
+    pub(super) fn session_has_room(&self, ticket: RequestId, server: ServerId, build: BuildNo) -> bool {
         let opening = self.room.as_ref().filter(|room| room.by_ticket.contains_key(&ticket));
         opening.is_none_or(|room| room.sessions.has_room(server, build))
     }
 
     /// A trip of a ticket goes out.
-    pub(super) fn session_sent(&mut self, ticket: TicketId, server: ServerId) {
+    pub(super) fn session_sent(&mut self, ticket: RequestId, server: ServerId) {
         let Some(build) = self.servers.get(&server).map(|place| place.process.build) else { return };
         if let Some(room) = &mut self.room
             && let Some(session) = room.by_ticket.get(&ticket)
@@ -150,7 +152,7 @@
     }
 
     /// Nothing is left of a ticket.
-    pub(super) fn session_ticket_over(&mut self, ticket: TicketId) {
+    pub(super) fn session_ticket_over(&mut self, ticket: RequestId) {
         let now = self.now;
         if let Some(room) = &mut self.room
             && let Some(session) = room.by_ticket.remove(&ticket)
@@ -222,7 +224,7 @@
         let Some(room) = desk.room.as_mut().filter(|room| room.stale) else { return };
         room.stale = false;
         let builds: BTreeSet<BuildNo> = desk.servers.values().map(|place| place.process.build).collect();
-        let shares = builds.into_iter().filter_map(|build| Some((build, self.gate.cap(build)?)));
+        let shares = builds.into_iter().filter_map(|build| Some((build, self.gate.exposure_cap(build)?)));
         room.sessions.told(desk.now, shares.collect());
     }
 
@@ -291,23 +293,23 @@
     }
 
     /// Another opening took this one's place: its client is answered at once, and its trips are given up.
-    fn give_opening_up(&mut self, ticket: TicketId, come_back_in: Micros) {
+    fn give_opening_up(&mut self, ticket: RequestId, come_back_in: Micros) {
         let mut desk = self.desk();
         desk.refused_for(Cause::Session);
         desk.finish(ticket, |last| client::turned_back(Some(come_back_in), last));
         drop(desk);
-        self.gate.client_left(ticket);
+        self.gate.client_disconnected(ticket);
         self.stop_trips(ticket, None);
         self.tell();
         self.desk().tidy(ticket);
     }
 
     /// Gives up the trips of a ticket that are still out, but for one.
-    fn stop_trips(&mut self, ticket: TicketId, but: Option<TripNo>) {
+    fn stop_trips(&mut self, ticket: RequestId, but: Option<AttemptNo>) {
         let mut desk = self.desk();
         let trips = desk.tickets.get(&ticket).map_or(0, |ticket| ticket.trips.len() as u32);
-        for trip in (0..trips).map(TripNo).filter(|trip| Some(*trip) != but) {
-            desk.give_up(ticket, trip, Ending::Stopped, Reason::Stopped);
+        for trip in (0..trips).map(AttemptNo).filter(|trip| Some(*trip) != but) {
+            desk.give_up(ticket, trip, AttemptOutcome::Cancelled, Reason::Stopped);
         }
     }
 
@@ -336,7 +338,7 @@
         let (Some(client), Some(session)) = (found.client, session) else {
             // Its client has left or was answered; the server is left with nothing.
             desk.close(id, Reason::Stopped);
-            return desk.trip_over(ticket, trip, Ending::Finished, Vec::new());
+            return desk.trip_over(ticket, trip, AttemptOutcome::Succeeded, Vec::new());
         };
         desk.consume(id, used);
         let (Some(client_conn), Some(server_conn)) = (desk.conns.remove(&client), desk.conns.remove(&id))
@@ -348,7 +350,7 @@
             ticket.client = None;
         }
         desk.write_to_session(client, agreement.head());
-        desk.trip_over(ticket, trip, Ending::Finished, Vec::new());
+        desk.trip_over(ticket, trip, AttemptOutcome::Succeeded, Vec::new());
         let listed = match desk.servers.get(&server) {
             Some(place) if place.process == process => place.condition,
             _ => Condition::Gone,
--- a/crates/garnetdoor-gateway/src/memory/timers.rs
+++ b/crates/garnetdoor-gateway/src/memory/timers.rs
@@ -2,16 +2,16 @@
 
 use std::collections::BTreeMap;
 
-use garnetdoor::host::{Micros, TicketId, TripNo, Wake};
+use garnetdoor::host::{AttemptNo, Micros, RequestId, TimerKind};
 
 use crate::event::ConnId;
 
 /// What is to happen then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    Wake(Wake),
+    Wake(TimerKind),
     /// A trip is given up.
-    Trip(TicketId, TripNo),
+    Trip(RequestId, AttemptNo),
     /// A connection may have stood as it does for long enough.
     Conn(ConnId),
     /// The platform's events are asked for again.
--- a/crates/garnetdoor-gateway/src/wire/client.rs
+++ b/crates/garnetdoor-gateway/src/wire/client.rs
@@ -1,6 +1,6 @@
 //! What clients say, and what they are told.
 
-use garnetdoor::host::{Arrival, KeyId, Micros, PartyId, ProfileId, Settings, micros};
+use garnetdoor::host::{Arrival, KeyId, Micros, PartyId, ProfileId, Settings, parse_seconds};
 
 use garnetdoor_operator::Websocket;
 use garnetdoor_websocket::handshake::{self, Offer, Refusal};
@@ -35,8 +35,8 @@
     pub fn new(settings: &Settings) -> Self {
         let count = settings.number("classes.count").unwrap_or(0.0) as usize;
         let profile = |id: ProfileId| Profile {
-            name: settings.text(&id.setting("name")).unwrap_or_default().to_owned(),
-            method: if settings.text(&id.setting("repeat")) == Some("safe") { "GET" } else { "POST" },
+            name: settings.text(&id.setting_name("name")).unwrap_or_default().to_owned(),
+            method: if settings.text(&id.setting_name("repeat")) == Some("safe") { "GET" } else { "POST" },
         };
         Profiles((0..count).map(|number| profile(ProfileId(number))).collect())
     }
@@ -151,11 +151,11 @@
     let figure = |name| http::figure(extra, name);
     let arrival = Arrival {
         profile: ProfileId(number),
-        cost: figure("effort").and_then(micros),
+        cost: figure("effort").and_then(parse_seconds),
         key: figure("entity").and_then(|text| u64::from_str_radix(text, 16).ok()).map(KeyId),
-        left: deadline * 1_000 - waited,
+        time_left: deadline * 1_000 - waited,
         writes: figure("write") == Some("1"),
-        repeat: message.header("req-retry") == Some("1"),
+        is_retry: message.header("req-retry") == Some("1"),
         party: figure("user_group").and_then(|text| text.parse().ok()).map(PartyId),
     };
     let Message { method, target, body, .. } = message;
--- a/crates/garnetdoor-gateway/src/wire/discovery.rs
+++ b/crates/garnetdoor-gateway/src/wire/discovery.rs
@@ -2,8 +2,10 @@
 
 use std::net::SocketAddr;
 
-use garnetdoor::host::{BuildNo, CellId, Condition, KindId, Listing, Micros, ServerId, Settings, ZoneId};
-use garnetdoor::names::by_word;
+use garnetdoor::host::{
+    BuildNo, CellId, Condition, MachineTypeId, Micros, ServerId, ServerInfo, Settings, ZoneId,
+};
+use garnetdoor::names::value_of_name;
 use serde_json::Value;
 
 /// The call for the whole list.
@@ -22,7 +24,7 @@
 pub struct Entry {
     pub name: String,
     pub address: SocketAddr,
-    pub listing: Listing,
+    pub listing: ServerInfo,
 }
 
 /// A list or changes of it.
@@ -78,21 +80,21 @@
     let text = |field: &str| value[field].as_str().ok_or_else(|| bad(field));
     let number = |field: &str| value[field].as_u64().ok_or_else(|| bad(field));
     let index = |field: &str, known: &[String]| {
-        let name = Settings::plain(text(field)?);
+        let name = Settings::sanitize(text(field)?);
         known.iter().position(|other| *other == name).ok_or_else(|| bad(field))
     };
-    let condition = by_word(Condition::ALL, ["up", "draining", "removed"], text("state")?);
+    let condition = value_of_name(Condition::ALL, ["up", "draining", "removed"], text("state")?);
     let condition = condition.ok_or_else(|| bad("state"))?;
     let started =
         value["boot_ms"].as_f64().filter(|ms| (0.0..9e15).contains(ms)).ok_or_else(|| bad("boot_ms"))?;
-    let listing = Listing {
+    let listing = ServerInfo {
         server: ServerId::default(),
         build: BuildNo(u32::try_from(number("image_id")?).map_err(|_| bad("image_id"))?),
         zone: ZoneId(index("az", &words.zones)?),
-        kind: KindId(index("model", &words.kinds)?),
+        machine_type: MachineTypeId(index("model", &words.kinds)?),
         cell: CellId(number("pod_group")?),
         condition,
-        size: value["capacity_hint"]
+        capacity: value["capacity_hint"]
             .as_f64()
             .filter(|size| *size > 0.0)
             .ok_or_else(|| bad("capacity_hint"))?,
--- a/crates/garnetdoor-gateway/src/wire/instance.rs
+++ b/crates/garnetdoor-gateway/src/wire/instance.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use garnetdoor::host::{Ending, Micros};
+use garnetdoor::host::{AttemptOutcome, Micros};
 
 use super::client::Request;
 use super::http::{self, Message};
@@ -31,11 +31,11 @@
 }
 
 /// How an answer ends a trip. One with a status of its own says nothing of whether the ticket ran.
-pub fn ending(answer: &Message) -> Ending {
+pub fn ending(answer: &Message) -> AttemptOutcome {
     match answer.status {
-        200 => Ending::Finished,
-        503 | 504 if answer.header("srv-declined") == Some("1") => Ending::Full,
-        _ => Ending::Error,
+        200 => AttemptOutcome::Succeeded,
+        503 | 504 if answer.header("srv-declined") == Some("1") => AttemptOutcome::Rejected,
+        _ => AttemptOutcome::Error,
     }
 }
 
--- a/crates/garnetdoor-gateway/src/wire/platform.rs
+++ b/crates/garnetdoor-gateway/src/wire/platform.rs
@@ -2,14 +2,14 @@
 
 use std::net::SocketAddr;
 
-use garnetdoor::host::{BuildNo, Micros, News, Phase, StageNo, Taken, Vote};
-use garnetdoor::names::by_word;
+use garnetdoor::host::{BuildNo, Micros, RolloutPhase, RolloutStatus, StageNo, Vote, VoteResult};
+use garnetdoor::names::value_of_name;
 use quick_xml::Reader;
 use quick_xml::events::Event;
 
 use super::http::Message;
 
-/// The words for `Vote::ALL` and for `Phase::ALL`.
+/// The words for `Vote::ALL` and for `RolloutPhase::ALL`.
 const OPINIONS: [&str; 4] = ["abstain", "promote", "pause", "abort"];
 const PHASES: [&str; 4] = ["Progressing", "Aborting", "Healthy", "Aborted"];
 
@@ -29,18 +29,18 @@
 }
 
 /// How a vote was taken, and the state told with it.
-pub fn taken(answer: &Message) -> (Taken, Option<News>) {
-    let Some(fields) = leaves(&answer.body) else { return (Taken::Unknown, None) };
+pub fn taken(answer: &Message) -> (VoteResult, Option<RolloutStatus>) {
+    let Some(fields) = leaves(&answer.body) else { return (VoteResult::Unknown, None) };
     let field = |name: &str| fields.iter().find(|(field, _)| field == name).map(|(_, text)| text.as_str());
     match (answer.status, field("Code")) {
         (200, None) => match news(field) {
-            Some(news) => (Taken::Counted, Some(news)),
-            None => (Taken::Unknown, None),
+            Some(news) => (VoteResult::Counted, Some(news)),
+            None => (VoteResult::Unknown, None),
         },
-        (400, Some("limit")) => (Taken::Full, None),
-        (400, Some("moot")) => (Taken::Moot, None),
-        (400 | 500, Some("error" | "malformed")) => (Taken::Error, None),
-        _ => (Taken::Unknown, None),
+        (400, Some("limit")) => (VoteResult::Full, None),
+        (400, Some("moot")) => (VoteResult::Moot, None),
+        (400 | 500, Some("error" | "malformed")) => (VoteResult::Error, None),
+        _ => (VoteResult::Unknown, None),
     }
 }
 
@@ -69,22 +69,22 @@
 }
 
 /// The state of the newest build from its fields, whatever holds them.
-pub fn news<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Option<News> {
-    let phase = by_word(Phase::ALL, PHASES, field("progress")?)?;
+pub fn news<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Option<RolloutStatus> {
+    let phase = value_of_name(RolloutPhase::ALL, PHASES, field("progress")?)?;
     let cap: f64 = field("ceiling")?.parse().ok()?;
     let lag: f64 = field("lag_ms")?.parse().ok()?;
-    Some(News {
+    Some(RolloutStatus {
         build: BuildNo(field("image")?.parse().ok()?),
         stage: StageNo(field("ring")?.parse().ok()?),
         phase,
-        cap: (0.0..=1.0).contains(&cap).then_some(cap)?,
+        exposure_cap: (0.0..=1.0).contains(&cap).then_some(cap)?,
         age: (0.0..9e12).contains(&lag).then_some((lag * 1_000.0) as Micros)?,
     })
 }
 
 /// One thing told unasked.
 pub enum Notice {
-    News(News),
+    News(RolloutStatus),
     /// A sign of life.
     Life,
     /// Of a kind that is not known here.
--- a/crates/garnetdoor-routes/src/pools.rs
+++ b/crates/garnetdoor-routes/src/pools.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use garnetdoor::host::{Condition, KindId, Micros, ServerId, ZoneId};
+use garnetdoor::host::{Condition, MachineTypeId, Micros, ServerId, ZoneId};
 
 const SECOND: Micros = 1_000_000;
 
@@ -36,7 +36,7 @@
     pub name: String,
     /// What its servers have; empty: any.
     pub zones: BTreeSet<ZoneId>,
-    pub kinds: BTreeSet<KindId>,
+    pub kinds: BTreeSet<MachineTypeId>,
     /// How their names begin; empty: any way.
     pub prefix: String,
     /// The part that must be open for all of its tickets.
@@ -54,7 +54,7 @@
     pub server: ServerId,
     pub name: String,
     pub zone: ZoneId,
-    pub kind: KindId,
+    pub kind: MachineTypeId,
     pub condition: Condition,
     /// The part of its capacity that it surely has.
     pub warmth: f64,
--- a/crates/playhouse/src/floor/desk.rs
+++ b/crates/playhouse/src/floor/desk.rs
@@ -9,10 +9,10 @@
 
 use bill::{Bill, Kind};
 use cast::{InstanceId, State};
-use garnetdoor::balance::Balance;
+use garnetdoor::balance::Balancer;
 use garnetdoor::host::{
-    BuildNo, CellId, Condition, GatewayId, Host, KindId, Listing, News, Phase, ProfileId, Refusal, ServerId,
-    Settings as Given, StageNo, TicketId, TripNo, Vote, Wake, ZoneId,
+    AttemptNo, BuildNo, CellId, Condition, GatewayId, Host, MachineTypeId, ProfileId, Refusal, RequestId,
+    RolloutPhase, RolloutStatus, ServerId, ServerInfo, Settings as Given, StageNo, TimerKind, Vote, ZoneId,
 };
 use indexmap::IndexMap;
 use load::{Bounds, Fleet, Profiles, Share, VOTE_LIFE};
@@ -23,13 +23,13 @@
 /// What the decisions have asked for.
 #[derive(Debug)]
 pub(super) enum Do {
-    Send { ticket: TicketId, server: ServerId, until: Option<Micros> },
-    Stop { ticket: TicketId, trip: TripNo },
-    TurnBack { ticket: TicketId, wait: Option<Micros> },
-    Forfeit { ticket: TicketId },
+    Send { ticket: RequestId, server: ServerId, until: Option<Micros> },
+    Stop { ticket: RequestId, trip: AttemptNo },
+    TurnBack { ticket: RequestId, wait: Option<Micros> },
+    Forfeit { ticket: RequestId },
     Refused { why: Refusal },
     Vote { build: BuildNo, vote: Vote },
-    Wake { at: Micros, wake: Wake },
+    Wake { at: Micros, wake: TimerKind },
 }
 
 /// Outcomes that were judged, and how many of them failed, by build and profile.
@@ -74,47 +74,47 @@
     fn now(&self) -> Micros {
         self.now.get()
     }
-    fn send_trip(&mut self, ticket: TicketId, server: ServerId, until: Option<Micros>) {
+    fn send_attempt(&mut self, ticket: RequestId, server: ServerId, until: Option<Micros>) {
         self.ask(Do::Send { ticket, server, until });
     }
-    fn stop_trip(&mut self, ticket: TicketId, trip: TripNo) {
+    fn cancel_attempt(&mut self, ticket: RequestId, trip: AttemptNo) {
         self.ask(Do::Stop { ticket, trip });
     }
-    fn turn_back(&mut self, ticket: TicketId, come_back_in: Option<Micros>) {
+    fn reject(&mut self, ticket: RequestId, come_back_in: Option<Micros>) {
         self.ask(Do::TurnBack { ticket, wait: come_back_in });
     }
-    fn forfeit(&mut self, ticket: TicketId) {
+    fn fail(&mut self, ticket: RequestId) {
         self.ask(Do::Forfeit { ticket });
     }
-    fn vote(&mut self, build: BuildNo, _stage: StageNo, vote: Vote) {
+    fn cast_vote(&mut self, build: BuildNo, _stage: StageNo, vote: Vote) {
         self.ask(Do::Vote { build, vote });
     }
-    fn wake_at(&mut self, at: Micros, wake: Wake) {
+    fn set_timer(&mut self, at: Micros, wake: TimerKind) {
         self.ask(Do::Wake { at, wake });
     }
     // A foyer probes nothing, and the list and the news of others come unasked.
     fn probe(&mut self, _server: ServerId) {}
-    fn tell_peers(&mut self, _to: Option<GatewayId>, _bytes: &[u8]) {}
-    fn ask_list(&mut self) {}
-    fn follow_list(&mut self, _on: bool) {}
-    fn close_idle(&mut self, _server: ServerId) {}
-    fn has_room(&self, _ticket: TicketId, server: ServerId, _build: BuildNo) -> bool {
+    fn send_to_peers(&mut self, _to: Option<GatewayId>, _bytes: &[u8]) {}
+    fn fetch_server_list(&mut self) {}
+    fn watch_server_list(&mut self, _on: bool) {}
+    fn close_idle_connections(&mut self, _server: ServerId) {}
+    fn has_capacity(&self, _ticket: RequestId, server: ServerId, _build: BuildNo) -> bool {
         let room = self.room.borrow();
         let may = |at: &Reach| at.mine && !at.spared && at.out < room.share.connections;
         room.at.get(server.0 as usize).is_some_and(may)
     }
-    fn may_go_further(&self) -> bool {
+    fn has_retry_budget(&self) -> bool {
         self.purse.borrow_mut().may_known(self.now.get(), &self.service)
     }
-    fn judged(&mut self, build: BuildNo, profile: ProfileId, failed: bool) {
+    fn outcome_judged(&mut self, build: BuildNo, profile: ProfileId, failed: bool) {
         let mut judged = self.judged.borrow_mut();
         let entry = judged.entry((build, profile)).or_default();
         *entry = (entry.0.saturating_add(1), entry.1.saturating_add(u32::from(failed)));
     }
-    fn refused(&mut self, _ticket: TicketId, why: Refusal) {
+    fn request_refused(&mut self, _ticket: RequestId, why: Refusal) {
         self.ask(Do::Refused { why });
     }
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         log::info!("{text}");
     }
 }
@@ -138,7 +138,7 @@
 
 pub struct Desk {
     now: Rc<Cell<Micros>>,
-    pub balance: Balance<Hand>,
+    pub balance: Balancer<Hand>,
     pub(super) asked: Rc<RefCell<VecDeque<Do>>>,
     pub service: Rc<str>,
     given: Given,
@@ -146,10 +146,10 @@
     from: (Arc<Bill>, Fleet, bool),
     servers: IndexMap<InstanceId, Seen>,
     /// What the decisions were told of each, by number.
-    listed: Vec<Listing>,
+    listed: Vec<ServerInfo>,
     profiles: Profiles,
     bounds: Bounds,
-    told: Option<(u32, Phase)>,
+    told: Option<(u32, RolloutPhase)>,
     /// The trial that is known, and the last vote on it, with its moment.
     trial: Option<Trial>,
     voted: Option<(u32, Vote, Micros)>,
@@ -184,7 +184,7 @@
         let given = load::settings(service, &bounds, bill, fleet, false, &mut profiles);
         Desk {
             now,
-            balance: Balance::start(hand, seed, given.clone()),
+            balance: Balancer::start(hand, seed, given.clone()),
             asked,
             service: service.into(),
             given,
@@ -230,14 +230,14 @@
     pub fn instances<'a>(
         &mut self, known: impl Iterator<Item = (&'a cast::Known, usize)>, rollout: Option<&Rollout>,
     ) {
-        let news: Vec<Listing> =
+        let news: Vec<ServerInfo> =
             known.filter_map(|(known, before)| self.instance(known, rollout, before)).collect();
         if !news.is_empty() || self.reach_changed {
             self.reach_changed = false;
             self.load_usable();
         }
         if !news.is_empty() {
-            self.balance.list_changed(news);
+            self.balance.server_list_updated(news);
             self.load_trial();
         }
     }
@@ -272,7 +272,9 @@
     }
 
     /// One of them; `None`: it never may get tickets, or nothing is new.
-    fn instance(&mut self, known: &cast::Known, rollout: Option<&Rollout>, before: usize) -> Option<Listing> {
+    fn instance(
+        &mut self, known: &cast::Known, rollout: Option<&Rollout>, before: usize,
+    ) -> Option<ServerInfo> {
         let build = rollout.and_then(|rollout| rollout.build_of(&known.version));
         let condition = match (build, known.state) {
             (Some(_), State::InService) => Condition::Healthy,
@@ -291,19 +293,19 @@
             self.reach_changed |= std::mem::replace(&mut room.at[number].before, before) != before;
         }
         let zone = self.zones.iter().position(|zone| *zone == known.zone).unwrap_or(self.zones.len());
-        let listing = Listing {
+        let listing = ServerInfo {
             server: ServerId(number as u32),
             build: BuildNo(build.unwrap_or(0)),
             zone: ZoneId(zone),
-            kind: KindId(0),
+            machine_type: MachineTypeId(0),
             cell: CellId(0),
             condition,
-            size: f64::from(known.slots.max(1)),
+            capacity: f64::from(known.slots.max(1)),
             started: Some(known.first_seen),
         };
         let fresh = number >= self.listed.len();
         if fresh {
-            self.listed.resize(number + 1, Listing::default());
+            self.listed.resize(number + 1, ServerInfo::default());
         }
         let told = std::mem::replace(&mut self.listed[number], listing.clone());
         (fresh || told != listing).then_some(listing)
@@ -326,9 +328,9 @@
     pub fn rollout(&mut self, now: Micros, cap: f64, rollout: &Rollout) {
         let phase = match rollout.state {
             None => return,
-            Some(script::State::InProgress) => Phase::OnTrial,
-            Some(script::State::Completed) => Phase::Released,
-            Some(script::State::Reverted) => Phase::Withdrawn,
+            Some(script::State::InProgress) => RolloutPhase::InTrial,
+            Some(script::State::Completed) => RolloutPhase::Released,
+            Some(script::State::Reverted) => RolloutPhase::RolledBack,
         };
         let (number, since) = (rollout.number, rollout.since);
         self.trial = rollout.in_progress().then_some(Trial { number, since, cap });
@@ -337,11 +339,11 @@
             // Older builds than the last say nothing of any to come.
             self.judged.borrow_mut().retain(|(build, _), _| build.0 + 2 >= rollout.number);
             self.told = Some((rollout.number, phase));
-            self.balance.news_came(News {
+            self.balance.rollout_updated(RolloutStatus {
                 build: BuildNo(rollout.number),
                 stage: StageNo(0),
                 phase,
-                cap,
+                exposure_cap: cap,
                 age: now - rollout.since,
             });
         }
@@ -357,10 +359,10 @@
     /// This foyer's word on the trial of the service, if there is one.
     pub fn vote(&self, now: Micros) -> Option<script::Vote> {
         let Trial { number, since, .. } = *self.trial.as_ref()?;
-        let back = self
-            .voted
-            .is_some_and(|(build, vote, at)| build == number && vote == Vote::Back && now - at <= VOTE_LIFE);
-        let on = self.voted.is_some_and(|(build, vote, _)| build == number && vote == Vote::On);
+        let back = self.voted.is_some_and(|(build, vote, at)| {
+            build == number && vote == Vote::RollBack && now - at <= VOTE_LIFE
+        });
+        let on = self.voted.is_some_and(|(build, vote, _)| build == number && vote == Vote::Promote);
         let voice = match (back, on) {
             (true, _) => Voice::Back,
             (_, true) => Voice::On,
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -11,7 +11,9 @@
 
 use bill::{Bill, Kind};
 use company::Part;
-use garnetdoor::host::{Arrival, Ending, ServerId, Taken, TicketId, TripNo, Vote, Wake};
+use garnetdoor::host::{
+    Arrival, AttemptNo, AttemptOutcome, RequestId, ServerId, TimerKind, Vote, VoteResult,
+};
 use indexmap::IndexMap;
 use intent::{Intent, Usher, usher, ward};
 use props::{Carrier, MS, Micros, Place, SECOND};
@@ -46,7 +48,7 @@
     },
     /// A ticket that goes to one of its route's services; `left` is the client's time.
     Came {
-        ticket: TicketId,
+        ticket: RequestId,
         service: &'a str,
         route: &'a str,
         kind: Kind,
@@ -54,15 +56,15 @@
     },
     /// A trip has ended; `over`: the ticket has its answer.
     Ended {
-        ticket: TicketId,
-        trip: TripNo,
+        ticket: RequestId,
+        trip: AttemptNo,
         took: Micros,
-        ending: Ending,
+        ending: AttemptOutcome,
         over: bool,
     },
     /// The client has its answer, or has gone.
     Left {
-        ticket: TicketId,
+        ticket: RequestId,
     },
     Seeds {
         places: Vec<Place>,
@@ -81,23 +83,23 @@
     },
     /// Send the ticket to an instance, over `connections` to it at most.
     Trip {
-        ticket: TicketId,
-        trip: TripNo,
+        ticket: RequestId,
+        trip: AttemptNo,
         to: Seen,
         until: Option<Micros>,
         connections: usize,
     },
     Stop {
-        ticket: TicketId,
-        trip: TripNo,
+        ticket: RequestId,
+        trip: AttemptNo,
     },
     /// Final answers: not run and never will be, with a time to come back; or nothing promised.
     TurnBack {
-        ticket: TicketId,
+        ticket: RequestId,
         wait: Option<Micros>,
     },
     Forfeit {
-        ticket: TicketId,
+        ticket: RequestId,
     },
 }
 
@@ -115,9 +117,9 @@
     bill: Option<Arc<Bill>>,
     desks: IndexMap<Rc<str>, Desk>,
     wakes: BinaryHeap<Reverse<(Micros, u64)>>,
-    waking: HashMap<u64, (Rc<str>, Wake)>,
+    waking: HashMap<u64, (Rc<str>, TimerKind)>,
     next_wake: u64,
-    open: BTreeMap<TicketId, Open>,
+    open: BTreeMap<RequestId, Open>,
     fleet: Fleet,
     /// All foyers that are up, this one too, in order.
     foyers: Vec<Place>,
@@ -296,7 +298,7 @@
             }
             In::Stops => {
                 for service in self.desks.keys().cloned().collect::<Vec<_>>() {
-                    self.decide(&service, |desk| desk.balance.stops());
+                    self.decide(&service, |desk| desk.balance.stop());
                 }
             }
         }
@@ -314,7 +316,7 @@
         {
             self.wakes.pop();
             if let Some((service, wake)) = self.waking.remove(&number) {
-                self.decide(&service, |desk| desk.balance.woke(wake));
+                self.decide(&service, |desk| desk.balance.timer_fired(wake));
             }
         }
         if self.peers_due <= now {
@@ -469,7 +471,7 @@
     }
 
     /// A ticket of a service or route that is not here any more is turned back: it has not run.
-    fn came(&mut self, ticket: TicketId, service: &str, route: &str, kind: Kind, left: Micros) {
+    fn came(&mut self, ticket: RequestId, service: &str, route: &str, kind: Kind, left: Micros) {
         let found =
             self.desks.get(service).and_then(|desk| Some((desk.service.clone(), desk.profile(route, kind)?)));
         let Some((service, profile)) = found else {
@@ -483,33 +485,35 @@
             profile,
             cost: None,
             key: None,
-            left,
+            time_left: left,
             writes: kind != Kind::Safe,
-            repeat: false,
+            is_retry: false,
             party: None,
         };
-        self.decide(&service, |desk| desk.balance.ticket_came(ticket, arrival));
+        self.decide(&service, |desk| desk.balance.request_arrived(ticket, arrival));
     }
 
-    fn ended(&mut self, ticket: TicketId, trip: TripNo, took: Micros, ending: Ending, over: bool) {
+    fn ended(
+        &mut self, ticket: RequestId, trip: AttemptNo, took: Micros, ending: AttemptOutcome, over: bool,
+    ) {
         let Some(open) = self.open.get_mut(&ticket) else { return };
         let Some(server) = open.out.get_mut(trip.0 as usize).and_then(Option::take) else { return };
         let service = open.service.clone();
         self.decide(&service, |desk| {
             desk.out(server, false);
-            desk.balance.trip_ended(ticket, trip, took, ending, over, &[]);
+            desk.balance.attempt_ended(ticket, trip, took, ending, over, &[]);
         });
     }
 
-    fn left(&mut self, ticket: TicketId) {
+    fn left(&mut self, ticket: RequestId) {
         let Some(open) = self.open.remove(&ticket) else { return };
-        self.decide(&open.service, |desk| desk.balance.client_left(ticket));
+        self.decide(&open.service, |desk| desk.balance.client_disconnected(ticket));
         for (number, server) in open.out.iter().enumerate().filter_map(|(n, out)| Some((n, (*out)?))) {
-            let trip = TripNo(number as u32);
+            let trip = AttemptNo(number as u32);
             self.out.push(Out::Stop { ticket, trip });
             self.decide(&open.service, |desk| {
                 desk.out(server, false);
-                desk.balance.trip_ended(ticket, trip, 0, Ending::Stopped, true, &[]);
+                desk.balance.attempt_ended(ticket, trip, 0, AttemptOutcome::Cancelled, true, &[]);
             });
         }
     }
@@ -532,7 +536,7 @@
                 let open = self.open.get(&ticket);
                 if open.is_some_and(|open| open.out.get(trip.0 as usize).is_some_and(Option::is_some)) {
                     self.out.push(Out::Stop { ticket, trip });
-                    self.ended(ticket, trip, 0, Ending::Stopped, false);
+                    self.ended(ticket, trip, 0, AttemptOutcome::Cancelled, false);
                 }
             }
             Do::TurnBack { ticket, wait } => {
@@ -547,9 +551,9 @@
             Do::Vote { build, vote } => {
                 self.decide(service, |desk| {
                     desk.voted(build, vote);
-                    desk.balance.vote_answered(Taken::Counted);
+                    desk.balance.vote_answered(VoteResult::Counted);
                 });
-                if vote == Vote::Back {
+                if vote == Vote::RollBack {
                     self.tell_votes(self.now.get());
                 }
             }
@@ -570,14 +574,14 @@
         &self.refusals
     }
 
-    fn send(&mut self, service: &Rc<str>, ticket: TicketId, server: ServerId, until: Option<Micros>) {
+    fn send(&mut self, service: &Rc<str>, ticket: RequestId, server: ServerId, until: Option<Micros>) {
         let Some(desk) = self.desks.get_mut(service) else { return };
         let (Some(to), Some(open)) = (desk.server(server).cloned(), self.open.get_mut(&ticket)) else {
             return;
         };
         desk.out(server, true);
         let connections = share(self.bill.as_deref(), service, self.fleet.gateways).connections;
-        let trip = TripNo(open.out.len() as u32);
+        let trip = AttemptNo(open.out.len() as u32);
         if trip.0 > 0 {
             self.purse.borrow_mut().spent(self.now.get(), service);
         }
--- a/crates/playhouse/src/foyer/front.rs
+++ b/crates/playhouse/src/foyer/front.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use garnetdoor::host::TicketId;
+use garnetdoor::host::RequestId;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body as _, Frame, Incoming, SizeHint};
 use hyper::header::{self, HeaderValue};
@@ -202,7 +202,7 @@
 /// Tells the foyer when a client has gone before its answer, or has it.
 struct Here {
     shared: Shared,
-    id: TicketId,
+    id: RequestId,
 }
 
 impl Drop for Here {
--- a/crates/playhouse/src/foyer/mod.rs
+++ b/crates/playhouse/src/foyer/mod.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use company::Part;
-use garnetdoor::host::{Ending, TicketId, TripNo};
+use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
 use hyper::Response;
 use props::{Life, MS, Micros, Place, SECOND};
 use tokio::sync::oneshot;
@@ -71,7 +71,7 @@
     post: Rc<Post>,
     clock: Clock,
     settings: Rc<Settings>,
-    open: HashMap<TicketId, Open>,
+    open: HashMap<RequestId, Open>,
     next_ticket: u64,
     pool: Rc<RefCell<Pool>>,
     cloakroom: Cloakroom,
@@ -220,9 +220,9 @@
     /// A request whose head, and as much of its body as is kept, has been read.
     fn came(
         &mut self, shared: &Shared, service: &str, route: &bill::Route, asked: Asked, until: Micros,
-    ) -> (TicketId, oneshot::Receiver<Reply>) {
+    ) -> (RequestId, oneshot::Receiver<Reply>) {
         self.next_ticket += 1;
-        let ticket = TicketId(self.next_ticket);
+        let ticket = RequestId(self.next_ticket);
         let (reply, told) = oneshot::channel();
         let asked = Rc::new(asked);
         self.open.insert(ticket, Open { asked, until, trips: Vec::new(), reply: Some(reply), kept: None });
@@ -235,12 +235,12 @@
     }
 
     /// The client has gone, or has its answer.
-    fn left(&mut self, shared: &Shared, ticket: TicketId) {
+    fn left(&mut self, shared: &Shared, ticket: RequestId) {
         self.step(shared, In::Left { ticket });
         self.open.remove(&ticket);
     }
 
-    fn reply(&mut self, ticket: TicketId, reply: Reply) {
+    fn reply(&mut self, ticket: RequestId, reply: Reply) {
         let Some(open) = self.open.get_mut(&ticket) else { return };
         let reply = match (open.kept.take(), reply) {
             (Some(kept), Reply::TurnedBack(_) | Reply::Forfeited) => Reply::Answer(kept),
@@ -252,7 +252,7 @@
     }
 
     fn trip(
-        &mut self, shared: &Shared, ticket: TicketId, trip: TripNo, to: Seen, until: Option<Micros>,
+        &mut self, shared: &Shared, ticket: RequestId, trip: AttemptNo, to: Seen, until: Option<Micros>,
         connections: usize,
     ) {
         let Some(open) = self.open.get_mut(&ticket) else { return };
@@ -270,15 +270,15 @@
         open.trips.push(task.abort_handle());
     }
 
-    fn ended(&mut self, shared: &Shared, ticket: TicketId, trip: TripNo, took: Micros, outcome: Outcome) {
+    fn ended(&mut self, shared: &Shared, ticket: RequestId, trip: AttemptNo, took: Micros, outcome: Outcome) {
         let Some(open) = self.open.get_mut(&ticket) else { return };
         let safe = open.asked.repeats;
         let (ending, over) = match outcome {
             Outcome::Failed(ending) => (ending, open.reply.is_none()),
             // What an instance says of its own failure may be asked again elsewhere where that does no harm.
-            Outcome::Answer { response, ending: Ending::Error } if safe => {
+            Outcome::Answer { response, ending: AttemptOutcome::Error } if safe => {
                 open.kept = Some(response);
-                (Ending::Error, open.reply.is_none())
+                (AttemptOutcome::Error, open.reply.is_none())
             }
             Outcome::Answer { response, ending } => {
                 if let Some(reply) = open.reply.take() {
--- a/crates/playhouse/src/foyer/trip.rs
+++ b/crates/playhouse/src/foyer/trip.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use garnetdoor::host::Ending;
+use garnetdoor::host::AttemptOutcome;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body as _, Frame, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -74,9 +74,9 @@
     /// A whole answer, or the head of one whose body still comes.
     Answer {
         response: Response<Body>,
-        ending: Ending,
+        ending: AttemptOutcome,
     },
-    Failed(Ending),
+    Failed(AttemptOutcome),
 }
 
 pub struct Trip {
@@ -126,7 +126,7 @@
         let left = |now: Micros| Duration::from_micros((self.until - now).max(0) as u64);
         let now = self.clock.now();
         if self.until <= now {
-            return Outcome::Failed(Ending::NeverSent);
+            return Outcome::Failed(AttemptOutcome::NeverSent);
         }
         let to = self.to.address;
         // Only a connection on which this request never was can't bring an earlier answer to it.
@@ -137,7 +137,7 @@
             let new = pooled.is_none();
             if new && !self.pool.borrow_mut().room(self.clock.now(), to, self.connections) {
                 self.put_back(unsent);
-                return Outcome::Failed(Ending::Full);
+                return Outcome::Failed(AttemptOutcome::Rejected);
             }
             let mut held = Held { pool: self.pool.clone(), clock: self.clock, to, wire: pooled, keep: None };
             if new {
@@ -146,27 +146,27 @@
                     Ok(Ok(wire)) => held.wire = Some(wire),
                     Ok(Err(_)) | Err(_) => {
                         self.put_back(unsent);
-                        return Outcome::Failed(Ending::ConnectFailed);
+                        return Outcome::Failed(AttemptOutcome::ConnectFailed);
                     }
                 }
             }
-            let Some(wire) = held.wire.as_mut() else { return Outcome::Failed(Ending::NeverSent) };
+            let Some(wire) = held.wire.as_mut() else { return Outcome::Failed(AttemptOutcome::NeverSent) };
             let ready = tokio::time::timeout(left(self.clock.now()), wire.sender.ready()).await;
             if !matches!(ready, Ok(Ok(()))) {
                 if new {
                     self.put_back(unsent);
-                    return Outcome::Failed(Ending::ConnectFailed);
+                    return Outcome::Failed(AttemptOutcome::ConnectFailed);
                 }
                 continue;
             }
             // What went out before and was not kept can't go again: this trip never was.
             let Some(request) = unsent.take().or_else(|| self.request()) else {
-                return Outcome::Failed(Ending::NeverSent);
+                return Outcome::Failed(AttemptOutcome::NeverSent);
             };
             self.asked.been.borrow_mut().push(to);
             let sent = tokio::time::timeout(left(self.clock.now()), wire.sender.try_send_request(request));
             return match sent.await {
-                Err(_) => Outcome::Failed(Ending::TimedOut),
+                Err(_) => Outcome::Failed(AttemptOutcome::TimedOut),
                 Ok(Ok(response)) => self.answered(response, held).await,
                 Ok(Err(mut error)) => {
                     unsent = error.take_message();
@@ -180,9 +180,9 @@
                         continue;
                     }
                     let ending = match unheard {
-                        _ if stopped => Ending::Stopped,
-                        true => Ending::ConnectFailed,
-                        false => Ending::Reset,
+                        _ if stopped => AttemptOutcome::Cancelled,
+                        true => AttemptOutcome::ConnectFailed,
+                        false => AttemptOutcome::Reset,
                     };
                     self.put_back(unsent);
                     Outcome::Failed(ending)
@@ -233,7 +233,7 @@
         // An answer that belongs to another request, or to none, or that is no last word (101).
         let (answers, asked) = (head.headers.get_all(ATTEMPT_ID), self.asked.headers.get_all(ATTEMPT_ID));
         if !answers.iter().eq(asked.iter()) || status.is_informational() {
-            return Outcome::Failed(Ending::Reset);
+            return Outcome::Failed(AttemptOutcome::Reset);
         }
         // Without an id, what comes next can't be told from what was meant for this one.
         let closes = closes || asked.iter().next().is_none();
@@ -245,7 +245,7 @@
             || !head.headers.contains_key(SERVER_SEAL)
             || not_run;
         if (status.is_success() && spoilt) || (!framed && !not_run) {
-            return Outcome::Failed(Ending::Reset);
+            return Outcome::Failed(AttemptOutcome::Reset);
         }
         if chunked.is_some() {
             // It says nothing then, and what is sent on would be cut to it.
@@ -253,12 +253,12 @@
         }
         strip(&mut head.headers);
         let ending = match status {
-            StatusCode::MISDIRECTED_REQUEST => Ending::Misdirected,
+            StatusCode::MISDIRECTED_REQUEST => AttemptOutcome::Misdirected,
             // The request itself is wrong (it has no id), wherever it goes.
-            StatusCode::BAD_REQUEST => Ending::Finished,
-            _ if not_run => Ending::Full,
-            _ if status.is_server_error() => Ending::Error,
-            _ => Ending::Finished,
+            StatusCode::BAD_REQUEST => AttemptOutcome::Succeeded,
+            _ if not_run => AttemptOutcome::Rejected,
+            _ if status.is_server_error() => AttemptOutcome::Error,
+            _ => AttemptOutcome::Succeeded,
         };
         // To clients these statuses promise that it has not run, which here nobody has said.
         let promises =
@@ -274,24 +274,24 @@
                             taken.extend_from_slice(&data);
                         }
                     }
-                    Some(Err(_)) => return Err(Ending::Reset),
+                    Some(Err(_)) => return Err(AttemptOutcome::Reset),
                 }
             }
             Ok(false)
         };
         let left = Duration::from_micros((self.until - self.clock.now()).max(0) as u64);
         match tokio::time::timeout(left, whole).await {
-            Err(_) => Outcome::Failed(Ending::TimedOut),
+            Err(_) => Outcome::Failed(AttemptOutcome::TimedOut),
             Ok(Err(ending)) => Outcome::Failed(ending),
             Ok(Ok(whole)) => {
                 if whole {
                     held.keep = (!closes).then_some(rest);
                 }
-                if matches!(ending, Ending::Misdirected | Ending::Full) {
+                if matches!(ending, AttemptOutcome::Misdirected | AttemptOutcome::Rejected) {
                     return Outcome::Failed(ending);
                 }
                 if unproven {
-                    return Outcome::Failed(Ending::Error);
+                    return Outcome::Failed(AttemptOutcome::Error);
                 }
                 let taken = coat.keep(taken);
                 let body = if whole {
--- a/crates/rehearsal/src/world/guests.rs
+++ b/crates/rehearsal/src/world/guests.rs
@@ -1,7 +1,7 @@
 //! Guests (clients): they ask, wait, give up, and repeat as they may.
 
 use bill::Kind;
-use garnetdoor::host::TicketId;
+use garnetdoor::host::RequestId;
 use props::{MS, Micros, SECOND};
 
 use super::{Event, World};
@@ -15,7 +15,7 @@
     pub deadline: Micros,
     pub tries_left: u32,
     /// Foyer, process and ticket that it is at.
-    pub at: Option<(usize, u64, TicketId)>,
+    pub at: Option<(usize, u64, RequestId)>,
     pub foyer: usize,
     pub read: bool,
     pub over: bool,
--- a/crates/rehearsal/src/world/instances.rs
+++ b/crates/rehearsal/src/world/instances.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use cast::{Beat, InstanceId};
-use garnetdoor::host::{Ending, TicketId, TripNo};
+use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
 use props::{MS, Micros, Place, SECOND};
 
 use super::operators::{Call, Caller, Reply, Who};
@@ -61,8 +61,8 @@
 pub(crate) struct Trip {
     pub foyer: usize,
     pub run: u64,
-    pub ticket: TicketId,
-    pub number: TripNo,
+    pub ticket: RequestId,
+    pub number: AttemptNo,
     pub request: u64,
     pub target: String,
     pub address: SocketAddrV4,
@@ -259,7 +259,7 @@
         let trips: Vec<usize> = one.running.drain(..).chain(one.queue.drain(..)).collect();
         self.by_address.remove(&address);
         for trip in trips {
-            self.back(trip, Ending::Reset, false);
+            self.back(trip, AttemptOutcome::Reset, false);
         }
         let services = self.scenario.site.services;
         let other = (service + 1 + self.pick(services - 1)) % services;
@@ -277,7 +277,7 @@
     }
 
     /// What an instance says goes back to the foyer.
-    fn back(&mut self, trip: usize, ending: Ending, answer: bool) {
+    fn back(&mut self, trip: usize, ending: AttemptOutcome, answer: bool) {
         let at = self.trips[trip].foyer;
         if self.passes(Some(at), None) && self.passes(None, Some(at)) {
             let way = self.way(at) + self.trip_far(trip);
@@ -293,7 +293,7 @@
         let Some(at) = self.by_address.get(&self.trips[trip].address).copied() else {
             // Refused, or silence where the machine has gone too.
             if self.odds(600) {
-                self.back(trip, Ending::ConnectFailed, false);
+                self.back(trip, AttemptOutcome::ConnectFailed, false);
             }
             return;
         };
@@ -304,7 +304,7 @@
         let wrong = self.instances[at].id != self.trips[trip].target;
         if wrong && self.planted != Some(Planted::NoTarget) {
             self.saw(What::TurnedAway { request: self.trips[trip].request, asked_for });
-            return self.back(trip, Ending::Misdirected, false);
+            return self.back(trip, AttemptOutcome::Misdirected, false);
         }
         let one = &self.instances[at];
         let (request, foyer, service) = (self.trips[trip].request, self.trips[trip].foyer, one.service);
@@ -315,7 +315,7 @@
         } else if queued < QUEUE {
             self.instances[at].queue.push_back(trip);
         } else {
-            self.back(trip, Ending::Full, false);
+            self.back(trip, AttemptOutcome::Rejected, false);
         }
     }
 
@@ -398,7 +398,7 @@
         let sick = self.now < until;
         if sick && self.odds(lost) {
             // It has run, and its answer is lost or rubbish.
-            self.back(trip, Ending::Reset, false);
+            self.back(trip, AttemptOutcome::Reset, false);
         } else if (grey && self.odds(500))
             || (sick && self.odds(error))
             || (self.bad(service, version) && self.odds(400))
@@ -406,16 +406,16 @@
             if self.bad(service, version) {
                 self.saw(What::BadAnswer { service, version });
             }
-            self.back(trip, Ending::Error, true);
+            self.back(trip, AttemptOutcome::Error, true);
         } else {
-            self.back(trip, Ending::Finished, true);
+            self.back(trip, AttemptOutcome::Succeeded, true);
         }
         while let Some(next) = self.instances[instance].queue.pop_front() {
             if self.trips[next].hung_up {
                 continue;
             }
             if self.now >= self.trips[next].until {
-                self.back(next, Ending::Full, false);
+                self.back(next, AttemptOutcome::Rejected, false);
                 continue;
             }
             self.run(instance, next);
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use garnetdoor::host::{Ending, TicketId};
+use garnetdoor::host::{AttemptOutcome, RequestId};
 use oorandom::Rand64;
 use playhouse::settings::Settings;
 use promptbook::Write;
@@ -150,7 +150,7 @@
     ClientGone {
         at: usize,
         run: u64,
-        ticket: TicketId,
+        ticket: RequestId,
     },
     Arrive {
         trip: usize,
@@ -161,7 +161,7 @@
     },
     TripEnded {
         trip: usize,
-        ending: Ending,
+        ending: AttemptOutcome,
         answer: bool,
     },
     Until {
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,23 +1,20 @@
-//! Every decision of a gateway; whatever carries the traffic hosts it. `Balance::start` takes a host, a seed
+//! Every decision of a gateway; whatever carries the traffic hosts it. `Balancer::start` takes a host, a seed
 //! and the settings; then the host calls one method for each thing that happens, and the decisions act at
-//! once by calling back the trait `Host` of `src/host.rs`; `src/seen.rs` is their memory, `src/terms.rs` the
+//! once by calling back the trait `Host` of `src/host.rs`; `src/state.rs` is their memory, `src/config.rs` the
 //! settings. The vote is Bayraktar and Lai's: each runs its own CUSUM on the build on trial and votes back
 //! on alarm. Here is what comes in; the folder beside has what is made of it, a file for each concern.
 
 use std::collections::BTreeMap;
 
-use crate::host::{
-    Arrival, BuildNo, Condition, Ending, GatewayId, Host, Listing, MS, Micros, News, Phase, ProfileId,
-    Refusal, SECOND, ServerId, Settings, Taken, Tally, TicketId, TripNo, Vote, Wake, ZoneId,
-};
-use crate::seen::{Record, Sample, Seen, Server, Sign, Ticket, Told, Trip, View, from, keep};
-use crate::terms::{Budget, Repeat, Scope, Terms};
+use crate::config::{Budget, Repeat, Scope, Terms};
+use crate::host::*;
+use crate::state::{Record, Sample, Seen, Server, Sign, Ticket, Told, Trip, View, from, keep};
 
-mod choice;
 mod evidence;
 mod exposure;
-mod further;
-mod scarcity;
+mod retry;
+mod selection;
+mod shedding;
 mod verdict;
 
 // Figures that more than one concern goes by; the design page's moved where docs/design.md tells why.
@@ -37,7 +34,7 @@
 const LIST_EACH: Micros = 10 * MS; // of the list service's time, for each gateway that may ask at once
 const BEAT: Micros = 100 * MS; // a wake-up this often; one late by half shows that the gateway stood still
 
-pub struct Balance<H: Host> {
+pub struct Balancer<H: Host> {
     host: H,
     terms: Terms,
     chance: oorandom::Rand64,
@@ -45,15 +42,15 @@
     kept: Micros, // nothing is counted over longer: what came before is forgotten, however long a day is
 }
 
-impl<H: Host> Balance<H> {
+impl<H: Host> Balancer<H> {
     pub fn start(host: H, seed: u64, settings: Settings) -> Self {
         let chance = oorandom::Rand64::new(u128::from(seed));
-        let mut balance = Balance { host, terms: Terms::default(), chance, seen: Seen::default(), kept: 0 };
+        let mut balance = Balancer { host, terms: Terms::default(), chance, seen: Seen::default(), kept: 0 };
         balance.settings_changed(settings);
-        balance.woke(Wake::Beat);
+        balance.timer_fired(TimerKind::StallCheck);
         if balance.terms.follows_list {
             let first = balance.host.now() + balance.between(0, balance.in_turn(LIST_EACH));
-            balance.host.wake_at(first, Wake::List);
+            balance.host.set_timer(first, TimerKind::ServerList);
         }
         balance
     }
@@ -66,23 +63,23 @@
         self.kept = self.terms.longest_window().max(FRESH_MOST);
     }
 
-    pub fn list_came(&mut self, list: Vec<Listing>) {
+    pub fn server_list_replaced(&mut self, list: Vec<ServerInfo>) {
         self.seen.servers.values_mut().for_each(|server| server.listing.condition = Condition::Gone);
-        self.list_changed(list);
+        self.server_list_updated(list);
     }
 
-    pub fn list_changed(&mut self, list: Vec<Listing>) {
+    pub fn server_list_updated(&mut self, list: Vec<ServerInfo>) {
         self.seen.listed(list);
         self.speak();
     }
 
     /// Asked again after a while that differs between gateways: a service that fails fails all at once.
-    pub fn list_failed(&mut self) {
+    pub fn server_list_failed(&mut self) {
         let at = self.host.now() + self.between(400 * MS, 1600 * MS + self.in_turn(LIST_EACH));
-        self.host.wake_at(at, Wake::List);
+        self.host.set_timer(at, TimerKind::ServerList);
     }
 
-    pub fn ticket_came(&mut self, id: TicketId, arrival: Arrival) {
+    pub fn request_arrived(&mut self, id: RequestId, arrival: Arrival) {
         let came = self.host.now();
         self.seen.took(arrival.profile, came, came - self.kept);
         self.seen.tickets.insert(id, Ticket { arrival, came, trips: Vec::new(), over: false });
@@ -92,12 +89,12 @@
     }
 
     /// A begun answer belongs to its client: nothing more is owed.
-    pub fn answer_began(&mut self, id: TicketId, _trip: TripNo) {
-        self.client_left(id);
+    pub fn response_started(&mut self, id: RequestId, _trip: AttemptNo) {
+        self.client_disconnected(id);
     }
 
-    pub fn trip_ended(
-        &mut self, id: TicketId, trip: TripNo, took: Micros, ending: Ending, over: bool,
+    pub fn attempt_ended(
+        &mut self, id: RequestId, trip: AttemptNo, took: Micros, ending: AttemptOutcome, over: bool,
         _load: &[Option<f64>],
     ) {
         let now = self.host.now();
@@ -108,13 +105,13 @@
         let on = *trip;
         let (profile, key) = (ticket.arrival.profile, ticket.arrival.key);
         let landed = self.seen.landed(&on, ending, now);
-        if let Some((zone, silent)) = landed.filter(|_| ending.tells_of_server() && !self.stood_still()) {
+        if let Some((zone, silent)) = landed.filter(|_| ending.is_server_evidence() && !self.stood_still()) {
             let usual = self.seen.usual(profile, now - self.span());
             let stretch = took as f64 / usual.unwrap_or(took).max(1) as f64;
             let sample = Sample { at: now, ending, took, zone, silent, stretch, beside: on.beside };
             self.seen.sampled(on.server, profile, sample, [SAMPLES, NORMAL_KEPT], now - FRESH_MOST);
         }
-        if ending == Ending::Finished {
+        if ending == AttemptOutcome::Succeeded {
             self.seen.finished.add(now, (), now - self.kept);
             if let Some(key) = key.filter(|_| self.terms.keys_stay) {
                 self.seen.key_answered(key, on.build, KEYS_MOST);
@@ -132,17 +129,17 @@
         self.speak();
     }
 
-    pub fn client_left(&mut self, id: TicketId) {
+    pub fn client_disconnected(&mut self, id: RequestId) {
         self.seen.end(id);
     }
 
     /// The gateway ends: every ticket still open gets its final answer now.
-    pub fn stops(&mut self) {
+    pub fn stop(&mut self) {
         let open = self.seen.tickets.iter().filter(|(_, ticket)| !ticket.over).map(|(id, _)| *id);
         open.collect::<Vec<_>>().into_iter().for_each(|id| self.give_up(id, Refusal::Stopping));
     }
 
-    pub fn news_came(&mut self, news: News) {
+    pub fn rollout_updated(&mut self, news: RolloutStatus) {
         if self.seen.news.is_some_and(|old| old.build < news.build) {
             // The time that nine in ten answers kept, where they are enough; none if all was worse already,
             // else a good build is held for the last one's faults. What slows all from then on shows late.
@@ -163,29 +160,29 @@
 
     /// A tally waits until the rest of its batch is in: with the earlier build's still missing, trouble that
     /// all share would look like the new build's.
-    pub fn tally_came(&mut self, tally: Tally) {
+    pub fn tally_received(&mut self, tally: Tally) {
         self.seen.tallies.push(tally);
-        self.host.wake_at(self.host.now() + 1, Wake::Vote);
+        self.host.set_timer(self.host.now() + 1, TimerKind::Vote);
     }
 
-    pub fn woke(&mut self, wake: Wake) {
+    pub fn timer_fired(&mut self, wake: TimerKind) {
         match wake {
-            Wake::Ticket(id) => self.overdue(id),
-            Wake::Vote => self.weigh_tallies(),
-            Wake::List => self.host.follow_list(true),
-            Wake::Beat => {
+            TimerKind::Request(id) => self.overdue(id),
+            TimerKind::Vote => self.weigh_tallies(),
+            TimerKind::ServerList => self.host.watch_server_list(true),
+            TimerKind::StallCheck => {
                 let now = self.host.now();
                 if self.stood_still() {
                     self.seen.stalled = now;
                 }
                 self.seen.forget_times(now - FRESH_MOST);
                 self.seen.beat = now + BEAT;
-                self.host.wake_at(self.seen.beat, Wake::Beat);
+                self.host.set_timer(self.seen.beat, TimerKind::StallCheck);
             }
         }
     }
 
-    pub fn probe_ended(&mut self, _: ServerId, _: Ending, _took: Micros, _load: &[Option<f64>]) {}
+    pub fn probe_ended(&mut self, _: ServerId, _: AttemptOutcome, _took: Micros, _load: &[Option<f64>]) {}
 
     /// Whether this gateway stood still until just now. What piled up meanwhile comes late for that reason
     /// alone, and says nothing of a server or build but whether it erred.
--- a/src/balance/evidence.rs
+++ b/src/balance/evidence.rs
@@ -14,22 +14,22 @@
 const TELL_MOST: f64 = 64.0; // peers told of an outcome, for the time that it takes them
 const HEARD_MOST: [usize; 2] = [30, 3]; // successes and failures of a peer on one build: half of h each
 
-impl<H: Host> Balance<H> {
+impl<H: Host> Balancer<H> {
     /// Takes one ended trip as evidence, where it is any. Times and resets are judged only while the earlier
     /// build still answers beside the one on trial: with none left to compare with, a slowdown or broken
     /// links that all share would send a good released build back. A build that turns slow after its release,
     /// which this lets through, `Worse` is there for. Nor are they judged after a stall, or across zones,
     /// where they tell as much of the link. The host hears of times all the same: it compares for all gateways.
-    pub(super) fn judge(&mut self, on: &Trip, profile: ProfileId, took: Micros, ending: Ending) {
+    pub(super) fn judge(&mut self, on: &Trip, profile: ProfileId, took: Micros, ending: AttemptOutcome) {
         let (build, late, finished) =
-            (on.build, took > self.terms.class(profile).on_time, ending == Ending::Finished);
+            (on.build, took > self.terms.class(profile).on_time, ending == AttemptOutcome::Succeeded);
         if finished {
             self.weigh(build, Sign::Disputed, 0.0, 1.0);
         }
         let judged = self.seen.news.is_some_and(|news| build >= news.build);
         let compared = !judged || self.past(build, Sign::Failed(profile)).2 >= LEAST_ON_TRIAL;
-        let errs = ending == Ending::Error || (compared && ending == Ending::Reset);
-        let timed_out = matches!(ending, Ending::TimedOut | Ending::Stopped) && late;
+        let errs = ending == AttemptOutcome::Error || (compared && ending == AttemptOutcome::Reset);
+        let timed_out = matches!(ending, AttemptOutcome::TimedOut | AttemptOutcome::Cancelled) && late;
         let told = !self.stood_still() && (on.near || finished);
         if !(errs || (told && (finished || timed_out)))
             || (judged && on.young && !(errs && self.terms.young_err))
@@ -39,14 +39,14 @@
         let failed = errs || (on.near && late);
         if self.may_tell() && took < Micros::MAX {
             self.count(build, profile, f64::from(u8::from(failed)), 1.0);
-            if let Some(news) = self.seen.news.filter(|news| news.phase == Phase::OnTrial) {
+            if let Some(news) = self.seen.news.filter(|news| news.phase == RolloutPhase::InTrial) {
                 self.tell(news.build, profile, judged, failed);
             }
         }
         if compared || errs || finished {
             self.weigh(build, Sign::Failed(profile), f64::from(u8::from(failed && (errs || compared))), 1.0);
         }
-        self.host.judged(build, profile, failed);
+        self.host.outcome_judged(build, profile, failed);
         // The present against the seconds before the trial began, whichever build answered.
         let before = self.seen.before.get(&profile).filter(|_| on.near && !errs);
         if let (Some(tail), Some(news)) = (before, self.seen.news) {
@@ -123,7 +123,8 @@
         let period = self.terms.sums_every;
         self.seen.tallies.sort_by_key(|tally| tally.build);
         for tally in std::mem::take(&mut self.seen.tallies) {
-            let (Tally { build, profile, mean, .. }, end) = (tally, self.host.now() - tally.age);
+            let (Tally { build, profile, mean_latency: mean, .. }, end) =
+                (tally, self.host.now() - tally.age);
             let last = self.seen.tallied.get(&(build, profile));
             let old_news = tally.age < 0 || last.is_some_and(|at| end < at + period / 2);
             let of_build = || self.seen.healthy().filter(|s| s.listing.build == build);
@@ -136,7 +137,7 @@
             let late = mean
                 .map_or(0.0, |mean| (-self.terms.class(profile).on_time as f64 / mean.max(1) as f64).exp());
             self.seen.tallied.insert((build, profile), end);
-            let (trips, failed) = (tally.trips as f64, tally.failed.min(tally.trips) as f64);
+            let (trips, failed) = (tally.attempts as f64, tally.failed.min(tally.attempts) as f64);
             self.count(build, profile, (failed + (trips - failed) * late) * old, trips * old);
         }
         self.speak();
@@ -161,12 +162,12 @@
         let many = (TELL_POINTS / full.max(f64::MIN_POSITIVE)).min(TELL_MOST) as usize;
         let first = (self.chance.rand_float() * peers as f64) as usize;
         let round = (0..peers).map(|n| GatewayId((first + n) % peers)).filter(|peer| peer.0 != own);
-        round.take(many).for_each(|peer| self.host.tell_peers(Some(peer), &bytes));
+        round.take(many).for_each(|peer| self.host.send_to_peers(Some(peer), &bytes));
     }
 
     /// A peer's outcome, if it is new, well formed and of this zone. No peer is heard more than a few times
     /// about one build, so that none can raise or hold down an alarm alone, by a fault or a lie.
-    pub fn peer_told(&mut self, from: GatewayId, bytes: &[u8]) {
+    pub fn peer_message_received(&mut self, from: GatewayId, bytes: &[u8]) {
         let Some(told) = Told::read(bytes) else { return };
         let news = self.seen.news.filter(|news| news.build.0 as u8 == told.build && self.may_tell());
         let Some(news) = news else { return };
--- a/src/balance/exposure.rs
+++ b/src/balance/exposure.rs
@@ -2,18 +2,18 @@
 
 use super::*;
 
-impl<H: Host> Balance<H> {
+impl<H: Host> Balancer<H> {
     /// Whether the rules let this ticket go to this build now: keys, effects, exposure. A lower cap is taken
     /// at once, and what went before still counts against it, which is stricter than the rule. Where all that
     /// came since the order counts, a build that no order names gets nothing.
     pub(super) fn build_allows(&self, ticket: &Ticket, build: BuildNo) -> bool {
         // A key stays with a newer build until that build goes back.
-        let kept = |build| self.seen.news.is_none_or(|n| n.build != build || !n.phase.goes_back());
+        let kept = |build| self.seen.news.is_none_or(|n| n.build != build || !n.phase.is_rollback());
         let newest = ticket.arrival.key.and_then(|key| self.seen.answered.get(&key));
         if newest.is_some_and(|newest| build < *newest && kept(*newest)) {
             return false;
         }
-        let Some(cap) = self.cap(build) else { return true };
+        let Some(cap) = self.exposure_cap(build) else { return true };
         let profile = ticket.arrival.profile;
         let stage = self.seen.news.filter(|news| news.build == build).map_or(0, |news| news.stage.0) as f64;
         let counts = |other: ProfileId| !self.terms.counted_by_class || other == profile;
@@ -31,11 +31,13 @@
 
     /// The cap of a build that counts as on trial here; `None` for one that does not. A build that the news
     /// does not name yet is on trial in its first stage; before any news, every build but the oldest is.
-    pub fn cap(&self, build: BuildNo) -> Option<f64> {
+    pub fn exposure_cap(&self, build: BuildNo) -> Option<f64> {
         let oldest = || self.seen.servers.values().map(|server| server.listing.build).min();
         match &self.seen.news {
             Some(news) if build < news.build => return None,
-            Some(news) if build == news.build => return (news.phase != Phase::Released).then_some(news.cap),
+            Some(news) if build == news.build => {
+                return (news.phase != RolloutPhase::Released).then_some(news.exposure_cap);
+            }
             None if oldest() == Some(build) => return None,
             _ => {}
         }
--- a/src/balance/further.rs
+++ b/src/balance/retry.rs
@@ -4,18 +4,18 @@
 
 const RETRY_SHARE: f64 = 0.2; // further trips: one and this share of the tickets, not to feed an overload
 
-impl<H: Host> Balance<H> {
+impl<H: Host> Balancer<H> {
     /// A trip is long out. If its server has answered nothing since, and not only this one trip says so but
     /// another there or a silent one lately, it may hang or its answer be lost: another server gets the
     /// ticket, as its kind allows. Else the ticket may be heavy, and sending that again would feed the load.
-    pub(super) fn overdue(&mut self, id: TicketId) {
+    pub(super) fn overdue(&mut self, id: RequestId) {
         let Some(ticket) = self.seen.tickets.get(&id).filter(|ticket| !ticket.over) else { return };
         let Some((number, trip)) = ticket.trips.iter().enumerate().next_back() else { return };
         if trip.ended.is_some() || !self.effect_allows(ticket, None) {
             return;
         }
         if self.stood_still() {
-            return self.host.wake_at(self.host.now() + BEAT / 2, Wake::Ticket(id));
+            return self.host.set_timer(self.host.now() + BEAT / 2, TimerKind::Request(id));
         }
         let (now, span) = (self.host.now(), self.span());
         let before = || self.seen.servers.values().any(|s| s.fresh(now, span).any(Sample::lost));
@@ -28,12 +28,12 @@
         if self.terms.second_copies {
             let _ = self.send(id);
         } else if self.terms.cancelling && self.retry_room() {
-            self.host.stop_trip(id, TripNo(number as u32));
+            self.host.cancel_attempt(id, AttemptNo(number as u32));
         }
     }
 
     /// No effect twice: whether a ticket may go to this server, or a further trip of it anywhere.
-    pub(super) fn effect_allows(&self, ticket: &Ticket, to: Option<&Listing>) -> bool {
+    pub(super) fn effect_allows(&self, ticket: &Ticket, to: Option<&ServerInfo>) -> bool {
         let Some(first) = ticket.trips.iter().find(|trip| trip.may_have_run()) else { return true };
         let class = self.terms.class(ticket.arrival.profile);
         let remembered = self.host.now() - first.sent < class.window - 10 * MS;
--- a/src/balance/choice.rs
+++ b/src/balance/selection.rs
@@ -12,8 +12,8 @@
 
 /// What a server's last trips took, in usual times.
 fn strains(server: &Server, now: Micros, span: Micros) -> impl Iterator<Item = f64> {
-    let told = server.fresh(now, span).filter(|s| s.ending != Ending::Stopped || s.silent);
-    told.map(|s| if s.ending == Ending::Finished { s.stretch.min(FAILURE) } else { FAILURE })
+    let told = server.fresh(now, span).filter(|s| s.ending != AttemptOutcome::Cancelled || s.silent);
+    told.map(|s| if s.ending == AttemptOutcome::Succeeded { s.stretch.min(FAILURE) } else { FAILURE })
 }
 
 impl View {
@@ -42,26 +42,26 @@
         }
         let strikes = server.samples.iter().rev().take_while(|s| s.failed()).count();
         let Some(last) = server.samples.back().filter(|_| strikes > 0) else { return false };
-        let hard = last.silent || matches!(last.ending, Ending::ConnectFailed | Ending::Reset);
+        let hard = last.silent || last.connection_failed();
         let rest = (REST << (strikes - 1).min(8)).min(REST_MOST);
         (hard || strikes > 1) && (self.now - last.at < rest || !server.out.is_empty())
     }
 }
 
-impl<H: Host> Balance<H> {
+impl<H: Host> Balancer<H> {
     /// The ordinary path of a ticket, and of each further trip: which build, which server, whether it can
     /// be in time, and off it goes; or why nothing was sent.
-    pub(super) fn send(&mut self, id: TicketId) -> Result<(), Refusal> {
+    pub(super) fn send(&mut self, id: RequestId) -> Result<(), Refusal> {
         let now = self.host.now();
         let ticket = &self.seen.tickets[&id];
         let profile = ticket.arrival.profile;
         let further = !ticket.trips.is_empty();
         let draws = self.draws(ticket);
-        let room = || self.host.may_go_further() && self.retry_room();
+        let room = || self.host.has_retry_budget() && self.retry_room();
         let again = self.effect_allows(ticket, None) && (!draws || room());
         let most = self.terms.class(profile).try_limit.unwrap_or(self.terms.try_limit);
         if ticket.trips.len() >= most || !again {
-            return Err(Refusal::Spent);
+            return Err(Refusal::RetriesExhausted);
         }
         // The build on trial by its share of the listed machines, cold ones by what they can do, and capped.
         let view = self.view();
@@ -70,20 +70,20 @@
         let (mut all, mut trial, mut fleet, mut open) = (0.0, 0.0, 0.0, 0.0);
         for server in self.seen.servers.values().filter(|s| s.listing.condition != Condition::Gone) {
             let (build, warm) = (server.listing.build, view.warmth(server));
-            fleet += server.listing.size * warm;
+            fleet += server.listing.capacity * warm;
             if server.listing.condition == Condition::Healthy {
-                let known = || (self.cap(build).is_some(), self.build_allows(ticket, build));
+                let known = || (self.exposure_cap(build).is_some(), self.build_allows(ticket, build));
                 let (on_trial, allowed) = *builds.entry(build).or_insert_with(known);
                 alike.entry((server.listing.zone, build)).or_default().0 += 1;
                 all += warm;
                 trial += if on_trial { warm } else { 0.0 };
-                open += if allowed { server.listing.size * warm } else { 0.0 };
+                open += if allowed { server.listing.capacity * warm } else { 0.0 };
             }
         }
         let aim = self.terms.class(profile).on_time;
         let late_counts = (further && self.terms.late_counts) || !self.terms.class(profile).agreed;
         let counts = if late_counts { Micros::MAX } else { aim };
-        let left = (ticket.came + counts.min(ticket.arrival.left)) - now;
+        let left = (ticket.came + counts.min(ticket.arrival.time_left)) - now;
         let most = (left as f64 * self.patience(&view, profile)) as Micros;
         let pressure = self.pressure();
         let lately = view.zones.keys().filter_map(|z| Some((*z, pressure(*z)? * aim as f64)));
@@ -113,13 +113,13 @@
             let (on_trial, allowed) = builds.get(&server.listing.build).copied().unwrap_or((false, false));
             let tried = ticket.trips.iter().any(|trip| trip.server == *name);
             let healthy = server.listing.condition == Condition::Healthy;
-            let room = || self.host.has_room(id, *name, server.listing.build);
+            let room = || self.host.has_capacity(id, *name, server.listing.build);
             if !healthy || !allowed || tried || !self.effect_allows(ticket, Some(&server.listing)) || !room()
             {
                 continue;
             }
             let warm = view.warmth(server);
-            let able = (server.listing.size * warm).max(f64::MIN_POSITIVE);
+            let able = (server.listing.capacity * warm).max(f64::MIN_POSITIVE);
             if warm < 1.0 && chance.rand_float() >= self.cold_room(server, able / fleet, able / open) {
                 continue;
             }
@@ -137,10 +137,11 @@
         // A ticket that can't be in time only delays others. It is a failure of the build, else a slow one hides
         // behind turn-backs; once between two answers, where it answers and is not the build's only server.
         let server = &self.seen.servers[&chosen];
-        let Listing { build, started, zone, .. } = server.listing;
+        let ServerInfo { build, started, zone, .. } = server.listing;
         let young = started.is_some_and(|at| now - at < YOUNG);
         let near = self.terms.zones_near || view.zone.is_none_or(|own| own == zone);
-        let beside = server.out.len() as f64;
+        let in_flight = server.out.len();
+        let beside = in_flight as f64;
         let trip = Trip { server: chosen, build, sent: now, beside, young, near, ended: None };
         let usual = view.usual(profile);
         if too_late {
@@ -149,14 +150,14 @@
             let counted =
                 self.seen.servers.get_mut(&chosen).is_some_and(|s| std::mem::replace(&mut s.turned, true));
             if !further && own && several && !counted {
-                self.judge(&trip, profile, Micros::MAX, Ending::TimedOut);
+                self.judge(&trip, profile, Micros::MAX, AttemptOutcome::TimedOut);
             }
-            return Err(Refusal::TooLate { server: chosen, expected, allowed: most, out: beside as usize });
+            return Err(Refusal::TooLate { server: chosen, expected, allowed: most, in_flight });
         }
         if further && left <= usual.unwrap_or(0) / 2 {
             return Err(Refusal::NoTime);
         }
-        if self.cap(build).is_some() {
+        if self.exposure_cap(build).is_some() {
             let since = (!self.terms.exposure_since_order).then_some(now - self.kept);
             self.seen.exposes(build, profile, now, since);
         }
@@ -167,9 +168,9 @@
         server.out.push(now);
         server.sent.add(now, (), now - self.kept);
         self.seen.tickets.get_mut(&id).expect("just read").trips.push(trip);
-        self.host.send_trip(id, chosen, None);
+        self.host.send_attempt(id, chosen, None);
         let wait = usual.map_or(aim / 2, |usual| (3 * usual).min(aim / 2));
-        self.host.wake_at(now + wait, Wake::Ticket(id));
+        self.host.set_timer(now + wait, TimerKind::Request(id));
         Ok(())
     }
 
--- a/src/balance/scarcity.rs
+++ b/src/balance/shedding.rs
@@ -9,7 +9,7 @@
 const SEEN_LOAD: f64 = 2.0; // times the most load that an answer came under, for which growth is foretold
 const LOST: f64 = 4.0; // of what many answers take, the most that a trip without one counts for as pressure
 
-impl<H: Host> Balance<H> {
+impl<H: Host> Balancer<H> {
     /// What part of their agreed time the last trips in a zone took, or in all where that tells nothing, and
     /// of all profiles, as a small gateway has no more to go by. A trip without an answer counts as late, and
     /// one long out before it ends; but where answers are quick it is lost, not queued: a tenth lost is no jam.
@@ -18,9 +18,9 @@
         let ended = self.seen.times.iter().flat_map(|(profile, kept)| {
             let (fresh, aim) = (from(kept, now - FRESH), aim(*profile));
             fresh.filter_map(move |s| match s.ending {
-                Ending::Finished => Some((Some(s.zone), s.took as f64 / aim, true)),
-                Ending::Full => Some((Some(s.zone), JAMMED, true)),
-                Ending::TimedOut | Ending::Stopped => Some((Some(s.zone), JAMMED, false)),
+                AttemptOutcome::Succeeded => Some((Some(s.zone), s.took as f64 / aim, true)),
+                AttemptOutcome::Rejected => Some((Some(s.zone), JAMMED, true)),
+                AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => Some((Some(s.zone), JAMMED, false)),
                 _ => None,
             })
         });
@@ -78,22 +78,22 @@
 
     /// The final answer of a ticket that gets no further trip: turned back where that promises no lie, with a
     /// time to come back that its client will keep to.
-    pub(super) fn give_up(&mut self, id: TicketId, why: Refusal) {
-        self.host.refused(id, why);
+    pub(super) fn give_up(&mut self, id: RequestId, why: Refusal) {
+        self.host.request_refused(id, why);
         let ticket = &self.seen.tickets[&id];
         let ran = ticket.trips.iter().any(Trip::may_have_run);
         let class = self.terms.class(ticket.arrival.profile);
         let drops_all = class.repeat == Repeat::Keyed && class.scope == Scope::All;
         let harmless = !ran || class.repeat == Repeat::Safe || drops_all;
         if harmless {
-            let left = ticket.came + ticket.arrival.left - self.host.now();
+            let left = ticket.came + ticket.arrival.time_left - self.host.now();
             let heeded = |share: f64| (share * left as f64) as Micros - COME_BACK_SPARE;
             let heeded = self.terms.come_back_share.map_or(Micros::MAX, heeded);
             let most = self.terms.come_back.map(|most| most.min(heeded)).filter(|most| *most > 0);
             let wait = most.map(|most| self.between(most / 2, most));
-            self.host.turn_back(id, wait);
+            self.host.reject(id, wait);
         } else {
-            self.host.forfeit(id);
+            self.host.fail(id);
         }
         self.seen.end(id);
     }
--- a/src/terms.rs
+++ b/src/config.rs
@@ -204,7 +204,7 @@
 }
 
 fn class(settings: &Settings, profile: ProfileId) -> Class {
-    let name = |what| profile.setting(what);
+    let name = |what| profile.setting_name(what);
     Class {
         listed: ["on_time", "repeat"].iter().any(|what| settings.text(&name(what)).is_some()),
         on_time: settings.micros(&name("on_time")).unwrap_or(UNSAID.on_time),
--- a/src/host.rs
+++ b/src/host.rs
@@ -2,6 +2,7 @@
 //! and the [`Host`] trait by which the decisions act. Nothing here decides anything.
 
 use std::collections::BTreeMap;
+use std::fmt;
 
 /// A time or a span, in whole microseconds.
 pub type Micros = i64;
@@ -19,9 +20,9 @@
 
 ids! {
     /// A client's ticket; the host never uses a number twice within one start.
-    TicketId(u64);
+    RequestId(u64);
     /// A ticket's trips are numbered from 0 in the order of `Host::send_trip`.
-    TripNo(u32);
+    AttemptNo(u32);
     /// A server, by a number of the host's own choosing.
     ServerId(u32);
     /// An index into the settings' `classes`.
@@ -31,7 +32,7 @@
     /// A small set of servers that know each other's marks.
     CellId(u64);
     /// An index into the settings' `machine_types`.
-    KindId(usize);
+    MachineTypeId(usize);
     /// A build's number; a later build has a higher one.
     BuildNo(u32);
     /// A stage of a release, from 0.
@@ -46,7 +47,7 @@
 
 impl ProfileId {
     /// The full name of one of the profile's settings.
-    pub fn setting(self, what: &str) -> String {
+    pub fn setting_name(self, what: &str) -> String {
         format!("classes.{}.{what}", self.0)
     }
 }
@@ -59,33 +60,33 @@
     pub cost: Option<Micros>,
     pub key: Option<KeyId>,
     /// Time until the client gives this try up.
-    pub left: Micros,
+    pub time_left: Micros,
     pub writes: bool,
     /// The client says that it repeats an earlier try.
-    pub repeat: bool,
+    pub is_retry: bool,
     pub party: Option<PartyId>,
 }
 
 /// How a trip or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    Finished,
+pub enum AttemptOutcome {
+    Succeeded,
     Error,
     /// Rejected unseen.
-    Full,
+    Rejected,
     TimedOut,
     ConnectFailed,
     Reset,
-    Stopped,
+    Cancelled,
     NeverSent,
     /// Another server has the address by now, and told so (421): it arrived there, and has not run.
     Misdirected,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// Whether it tells anything of the server that the trip was for.
-    pub fn tells_of_server(self) -> bool {
-        !matches!(self, Ending::NeverSent | Ending::Misdirected)
+    pub fn is_server_evidence(self) -> bool {
+        !matches!(self, AttemptOutcome::NeverSent | AttemptOutcome::Misdirected)
     }
 }
 
@@ -104,65 +105,78 @@
 
 /// One server as the list shows it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Listing {
+pub struct ServerInfo {
     pub server: ServerId,
     pub build: BuildNo,
     pub zone: ZoneId,
-    pub kind: KindId,
+    pub machine_type: MachineTypeId,
     pub cell: CellId,
     pub condition: Condition,
     /// Size to compare servers by.
-    pub size: f64,
+    pub capacity: f64,
     /// When it last started; `None`: long ago.
     pub started: Option<Micros>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
-    OnTrial,
-    GoingBack,
+pub enum RolloutPhase {
+    InTrial,
+    RollingBack,
     Released,
-    Withdrawn,
+    RolledBack,
 }
 
-impl Phase {
+impl RolloutPhase {
     /// All of them, in the order in which protocols number or name them.
-    pub const ALL: [Phase; 4] = [Phase::OnTrial, Phase::GoingBack, Phase::Released, Phase::Withdrawn];
+    pub const ALL: [RolloutPhase; 4] =
+        [RolloutPhase::InTrial, RolloutPhase::RollingBack, RolloutPhase::Released, RolloutPhase::RolledBack];
 
     /// The build is on its way off, or off.
-    pub fn goes_back(self) -> bool {
-        matches!(self, Phase::GoingBack | Phase::Withdrawn)
+    pub fn is_rollback(self) -> bool {
+        matches!(self, RolloutPhase::RollingBack | RolloutPhase::RolledBack)
     }
 }
 
 /// What the platform says of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct News {
+pub struct RolloutStatus {
     pub build: BuildNo,
     pub stage: StageNo,
-    pub phase: Phase,
+    pub phase: RolloutPhase,
     /// The share of the tickets taken that may go to the build.
-    pub cap: f64,
+    pub exposure_cap: f64,
     /// How long this state has lasted.
     pub age: Micros,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Vote {
-    None,
-    On,
+    Abstain,
+    Promote,
     Hold,
-    Back,
+    RollBack,
+}
+
+/// Log lines that operators match hold these words.
+impl fmt::Debug for Vote {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Vote::Abstain => "None",
+            Vote::Promote => "On",
+            Vote::Hold => "Hold",
+            Vote::RollBack => "Back",
+        })
+    }
 }
 
 impl Vote {
     /// All of them, in the order in which protocols number or name them.
-    pub const ALL: [Vote; 4] = [Vote::None, Vote::On, Vote::Hold, Vote::Back];
+    pub const ALL: [Vote; 4] = [Vote::Abstain, Vote::Promote, Vote::Hold, Vote::RollBack];
 }
 
 /// How the platform took a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum VoteResult {
     Counted,
     Moot,
     Full,
@@ -176,21 +190,21 @@
 pub struct Tally {
     pub build: BuildNo,
     pub profile: ProfileId,
-    pub trips: u64,
+    pub attempts: u64,
     pub failed: u64,
     /// Mean time of those that did not fail.
-    pub mean: Option<Micros>,
+    pub mean_latency: Option<Micros>,
     /// Time since the period ended.
     pub age: Micros,
 }
 
 /// What a wake-up is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wake {
-    Ticket(TicketId),
+pub enum TimerKind {
+    Request(RequestId),
     Vote,
-    List,
-    Beat,
+    ServerList,
+    StallCheck,
 }
 
 /// Why a request gets no further attempt.
@@ -205,12 +219,12 @@
         expected: Micros,
         allowed: Micros,
         /// Attempts that this gateway has out at the server.
-        out: usize,
+        in_flight: usize,
     },
     /// An attempt failed, and too little time is left for another one.
     NoTime,
     /// An attempt failed, and the kind of request, its number of attempts or the retry budget allows no other.
-    Spent,
+    RetriesExhausted,
     /// The gateway ends.
     Stopping,
 }
@@ -222,7 +236,7 @@
             Refusal::NoServer => "no-server",
             Refusal::TooLate { .. } => "too-late",
             Refusal::NoTime => "no-time",
-            Refusal::Spent => "spent",
+            Refusal::RetriesExhausted => "spent",
             Refusal::Stopping => "stopping",
         }
     }
@@ -233,42 +247,42 @@
     /// The time; it never goes back.
     fn now(&self) -> Micros;
     /// Sends a trip; it times out at `until`, or when the client quits if that is `None`.
-    fn send_trip(&mut self, ticket: TicketId, server: ServerId, until: Option<Micros>);
+    fn send_attempt(&mut self, ticket: RequestId, server: ServerId, until: Option<Micros>);
     /// Whether what this ticket would leave standing has room at the server, and on its build. Tickets that
     /// leave nothing behind always have.
-    fn has_room(&self, _ticket: TicketId, _server: ServerId, _build: BuildNo) -> bool {
+    fn has_capacity(&self, _ticket: RequestId, _server: ServerId, _build: BuildNo) -> bool {
         true
     }
     /// Waits no longer for a trip; it may have run.
-    fn stop_trip(&mut self, ticket: TicketId, trip: TripNo);
+    fn cancel_attempt(&mut self, ticket: RequestId, trip: AttemptNo);
     /// Final answer: trying again does no harm.
-    fn turn_back(&mut self, ticket: TicketId, come_back_in: Option<Micros>);
+    fn reject(&mut self, ticket: RequestId, come_back_in: Option<Micros>);
     /// Final answer: nothing is promised.
-    fn forfeit(&mut self, ticket: TicketId);
+    fn fail(&mut self, ticket: RequestId);
     /// Casts the gateway's vote.
-    fn vote(&mut self, build: BuildNo, stage: StageNo, vote: Vote);
+    fn cast_vote(&mut self, build: BuildNo, stage: StageNo, vote: Vote);
     /// Calls `woke` at that time or soon after; it can't be taken back.
-    fn wake_at(&mut self, at: Micros, wake: Wake);
+    fn set_timer(&mut self, at: Micros, wake: TimerKind);
     /// Asks whether a server answers.
     fn probe(&mut self, server: ServerId);
     /// Tells one peer, or all of them.
-    fn tell_peers(&mut self, to: Option<GatewayId>, bytes: &[u8]);
+    fn send_to_peers(&mut self, to: Option<GatewayId>, bytes: &[u8]);
     /// Asks for the whole server list once.
-    fn ask_list(&mut self);
+    fn fetch_server_list(&mut self);
     /// Asks for the list's changes from now on, or no longer.
-    fn follow_list(&mut self, on: bool);
+    fn watch_server_list(&mut self, on: bool);
     /// Closes the idle connections to a server.
-    fn close_idle(&mut self, server: ServerId);
+    fn close_idle_connections(&mut self, server: ServerId);
     /// Whether this gateway's part of what all may spend on further trips has room for one more.
-    fn may_go_further(&self) -> bool {
+    fn has_retry_budget(&self) -> bool {
         true
     }
     /// An outcome has been judged as evidence on a build, for hosts that tell others of it.
-    fn judged(&mut self, _build: BuildNo, _profile: ProfileId, _failed: bool) {}
+    fn outcome_judged(&mut self, _build: BuildNo, _profile: ProfileId, _failed: bool) {}
     /// A request is about to get its final answer without a server's, for this reason.
-    fn refused(&mut self, _ticket: TicketId, _why: Refusal) {}
+    fn request_refused(&mut self, _ticket: RequestId, _why: Refusal) {}
     /// Writes a line to the log.
-    fn note(&mut self, text: &str);
+    fn log(&mut self, text: &str);
 }
 
 /// The settings as they came: a map of names to values. Absent or unreadable values are `None`.
@@ -277,7 +291,7 @@
 
 impl Settings {
     /// A text as settings hold it.
-    pub fn plain(text: &str) -> String {
+    pub fn sanitize(text: &str) -> String {
         text.replace([' ', ','], "_")
     }
 
@@ -298,7 +312,7 @@
 
     /// A value in seconds, as microseconds.
     pub fn micros(&self, name: &str) -> Option<Micros> {
-        micros(self.text(name)?)
+        parse_seconds(self.text(name)?)
     }
 
     /// A value that is true or false.
@@ -325,7 +339,7 @@
 
 /// Reads decimal seconds as whole microseconds, to the nearest one, without passing through a float
 /// unless the number is written with an exponent.
-pub fn micros(text: &str) -> Option<Micros> {
+pub fn parse_seconds(text: &str) -> Option<Micros> {
     let (negative, digits) = text.strip_prefix('-').map_or((false, text), |rest| (true, rest));
     let plain = |part: &str| part.bytes().all(|b| b.is_ascii_digit());
     let (whole, part) = digits.split_once('.').unwrap_or((digits, ""));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,7 @@
 //! All decisions are in [`balance`]; what a gateway must offer them is in [`host`].
 
 pub mod balance;
+pub mod config;
 pub mod host;
 pub mod names;
-pub mod seen;
-pub mod terms;
+pub mod state;
--- a/src/names.rs
+++ b/src/names.rs
@@ -4,21 +4,21 @@
 use std::rc::Rc;
 
 /// The value that a protocol has this word for; `words` stand in the order of `all`.
-pub fn by_word<T: Copy, const N: usize>(all: [T; N], words: [&str; N], word: &str) -> Option<T> {
+pub fn value_of_name<T: Copy, const N: usize>(all: [T; N], words: [&str; N], word: &str) -> Option<T> {
     words.iter().position(|known| *known == word).map(|number| all[number])
 }
 
 /// Names of one sort, numbered in the order of their first appearance. The map is only looked up, never
 /// walked, so that its order shows nowhere.
 #[derive(Default)]
-pub struct Names {
+pub struct NameTable {
     numbers: HashMap<Rc<str>, usize>,
     names: Vec<Rc<str>>,
 }
 
-impl Names {
+impl NameTable {
     /// The number of a name, a new one for a new name.
-    pub fn number(&mut self, name: &str) -> usize {
+    pub fn intern(&mut self, name: &str) -> usize {
         if let Some(number) = self.numbers.get(name) {
             return *number;
         }
--- a/src/seen.rs
+++ b/src/state.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::host::{
-    Arrival, BuildNo, Condition, Ending, GatewayId, KeyId, Listing, Micros, News, Phase, ProfileId, ServerId,
-    StageNo, Tally, TicketId, Vote, ZoneId,
+    Arrival, AttemptOutcome, BuildNo, Condition, GatewayId, KeyId, Micros, ProfileId, RequestId,
+    RolloutPhase, RolloutStatus, ServerId, ServerInfo, StageNo, Tally, Vote, ZoneId,
 };
 
 /// What happened lately, oldest first.
@@ -42,7 +42,7 @@
     pub young: bool,
     /// It stays in the gateway's zone.
     pub near: bool,
-    pub ended: Option<Ending>,
+    pub ended: Option<AttemptOutcome>,
 }
 
 pub struct Ticket {
@@ -56,13 +56,13 @@
 impl Trip {
     /// Whether the server may have seen it, or may still.
     pub fn may_have_arrived(&self) -> bool {
-        !matches!(self.ended, Some(Ending::ConnectFailed | Ending::NeverSent))
+        !matches!(self.ended, Some(AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent))
     }
 
     /// Whether it may have run, or may still.
     pub fn may_have_run(&self) -> bool {
-        use Ending::{ConnectFailed, Full, Misdirected, NeverSent};
-        !matches!(self.ended, Some(Full | ConnectFailed | NeverSent | Misdirected))
+        use AttemptOutcome::{ConnectFailed, Misdirected, NeverSent, Rejected};
+        !matches!(self.ended, Some(Rejected | ConnectFailed | NeverSent | Misdirected))
     }
 }
 
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy)]
 pub struct Sample {
     pub at: Micros,
-    pub ending: Ending,
+    pub ending: AttemptOutcome,
     pub took: Micros,
     pub zone: ZoneId,
     /// Nothing at all came from the server while the trip was out.
@@ -89,13 +89,18 @@
 impl Sample {
     /// It failed, and not only late while its server answered others.
     pub fn failed(&self) -> bool {
-        let late = matches!(self.ending, Ending::TimedOut | Ending::Stopped);
-        self.ending != Ending::Finished && (!late || self.silent)
+        let late = matches!(self.ending, AttemptOutcome::TimedOut | AttemptOutcome::Cancelled);
+        self.ending != AttemptOutcome::Succeeded && (!late || self.silent)
+    }
+
+    /// The connection could not be opened, or it broke.
+    pub fn connection_failed(&self) -> bool {
+        matches!(self.ending, AttemptOutcome::ConnectFailed | AttemptOutcome::Reset)
     }
 
     /// It timed out with nothing heard, and was not given up before.
     pub fn lost(&self) -> bool {
-        self.silent && self.ending == Ending::TimedOut
+        self.silent && self.ending == AttemptOutcome::TimedOut
     }
 }
 
@@ -112,7 +117,7 @@
 
 #[derive(Default)]
 pub struct Server {
-    pub listing: Listing,
+    pub listing: ServerInfo,
     /// When each trip that is still out was sent.
     pub out: Vec<Micros>,
     /// When trips were sent lately, for the budget of a cold machine.
@@ -129,7 +134,7 @@
     }
 
     pub fn fresh_answers(&self, now: Micros, span: Micros) -> impl Iterator<Item = &Sample> {
-        self.fresh(now, span).filter(|sample| sample.ending == Ending::Finished)
+        self.fresh(now, span).filter(|sample| sample.ending == AttemptOutcome::Succeeded)
     }
 
     /// What it answered within `span`, if it answered anything.
@@ -219,8 +224,8 @@
 #[derive(Default)]
 pub struct Seen {
     pub servers: BTreeMap<ServerId, Server>,
-    pub tickets: BTreeMap<TicketId, Ticket>,
-    pub news: Option<News>,
+    pub tickets: BTreeMap<RequestId, Ticket>,
+    pub news: Option<RolloutStatus>,
     pub news_at: Micros,
     /// The vote cast last, and when it is due again.
     pub cast: Option<(BuildNo, StageNo, Vote)>,
@@ -282,9 +287,9 @@
     }
 
     /// Takes news in; an order to try a build begins with the first news of it, or of it once more.
-    pub fn told_news(&mut self, news: News, now: Micros) {
-        let goes_on = |old: News| old.build == news.build && old.phase == Phase::OnTrial;
-        if news.phase == Phase::OnTrial && !self.news.is_some_and(goes_on) {
+    pub fn told_news(&mut self, news: RolloutStatus, now: Micros) {
+        let goes_on = |old: RolloutStatus| old.build == news.build && old.phase == RolloutPhase::InTrial;
+        if news.phase == RolloutPhase::InTrial && !self.news.is_some_and(goes_on) {
             self.order = Some(Order { build: news.build, ..Order::default() });
         }
         (self.news, self.news_at) = (Some(news), now);
@@ -307,7 +312,7 @@
 
     /// Takes what the list says of some servers; one that starts anew is another process, of which what the
     /// last one did says nothing. Those that are gone are forgotten once no trip is out there.
-    pub fn listed(&mut self, list: Vec<Listing>) {
+    pub fn listed(&mut self, list: Vec<ServerInfo>) {
         for listing in list {
             let server = self.servers.entry(listing.server).or_default();
             if (server.listing.build, server.listing.started) != (listing.build, listing.started) {
@@ -321,7 +326,7 @@
     /// What a profile's last answers took.
     pub fn answers(&self, profile: ProfileId, since: Micros) -> impl Iterator<Item = Micros> {
         let kept = self.times.get(&profile).into_iter().flat_map(move |kept| from(kept, since));
-        kept.filter(|sample| sample.ending == Ending::Finished).map(|sample| sample.took)
+        kept.filter(|sample| sample.ending == AttemptOutcome::Succeeded).map(|sample| sample.took)
     }
 
     /// A profile's usual time; unknown while it rests on less than 5 answers.
@@ -364,10 +369,11 @@
     }
 
     /// Takes an ended trip off its server; tells that server's zone and whether it was silent all the while.
-    pub fn landed(&mut self, on: &Trip, ending: Ending, now: Micros) -> Option<(ZoneId, bool)> {
+    pub fn landed(&mut self, on: &Trip, ending: AttemptOutcome, now: Micros) -> Option<(ZoneId, bool)> {
         let server = self.servers.get_mut(&on.server)?;
         server.out.iter().position(|at| *at == on.sent).map(|at| server.out.remove(at));
-        let answered = matches!(ending, Ending::Finished | Ending::Error | Ending::Full);
+        let answered =
+            matches!(ending, AttemptOutcome::Succeeded | AttemptOutcome::Error | AttemptOutcome::Rejected);
         let silent = !answered && server.heard <= on.sent;
         if answered {
             (server.heard, server.turned) = (now, false);
@@ -420,7 +426,7 @@
     }
 
     /// Marks a ticket as over.
-    pub fn end(&mut self, id: TicketId) {
+    pub fn end(&mut self, id: RequestId) {
         if let Some(ticket) = self.tickets.get_mut(&id) {
             ticket.over = true;
         }
@@ -428,7 +434,7 @@
     }
 
     /// Forgets a ticket that is over and has no trip out.
-    pub fn close(&mut self, id: TicketId) {
+    pub fn close(&mut self, id: RequestId) {
         if self.tickets.get(&id).is_some_and(|ticket| ticket.over && ticket.none_out()) {
             self.tickets.remove(&id);
         }
