--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,14 +1,13 @@
-//! Every decision of a gateway; whatever carries the traffic hosts it. `Balancer::start` takes a host, a seed
-//! and the settings; then the host calls one method for each thing that happens, and the decisions act at
-//! once by calling back the trait `Host` of `src/host.rs`; `src/state.rs` is their memory, `src/config.rs` the
-//! settings. The vote is Bayraktar and Lai's: each runs its own CUSUM on the build on trial and votes back
-//! on alarm. Here is what comes in; the folder beside has what is made of it, a file for each concern.
+//! All decisions of a gateway: the build and server of each attempt, retries, load shedding, and votes on
+//! staged releases. The host calls a method for each event, and the balancer acts at once through the
+//! [`Host`] trait; [`crate::state`] is its memory. Votes follow Bayraktar and Lai: each gateway runs its own
+//! CUSUM statistic on the build on trial and votes to roll back on alarm. Each submodule holds one concern.
 
 use std::collections::BTreeMap;
 
-use crate::config::{Budget, Repeat, Scope, Terms};
+use crate::config::{BalancerConfig, DedupScope, RepeatSafety, RetryBudget};
 use crate::host::*;
-use crate::state::{Record, Sample, Seen, Server, Sign, Ticket, Told, Trip, View, from, keep};
+use crate::state::*;
 
 mod evidence;
 mod exposure;
@@ -17,192 +16,191 @@
 mod shedding;
 mod verdict;
 
-// Figures that more than one concern goes by; the design page's moved where docs/design.md tells why.
-const H: f64 = 6.0; // alarm height, in nats
-const LEAST_EARLIER: f64 = 30.0; // outcomes of the earlier build, before any vote back
-const LEAST_ON_TRIAL: f64 = 10.0; // outcomes of the build on trial, before any vote back
-const YOUNG: Micros = 5 * SECOND; // machines on trial younger than this are not judged
-const KEYS_MOST: usize = 100_000; // keys whose build is remembered; the rest is forgotten rather than run out
-const SAMPLES: usize = 16; // trips remembered a server: enough to see a failing share, short enough to forget
-const NORMAL_KEPT: usize = 64; // answers a profile, for its usual time
-const PRIOR: f64 = 2.0; // usual answers that a zone's or server's slowness starts from
-const FRESH: Micros = 4 * SECOND; // older samples say nothing of a server's present
-const FRESH_MOST: Micros = 20 * SECOND; // unless trips are so few that this long must serve
-const FAILURE: f64 = 8.0; // a failed trip weighs like an answer that takes so many usual times
-const LONG_OUT: f64 = 0.5; // of the agreed time: a trip out for so long tells of a jam before it ends
-const RETRY_OVER: Micros = 10 * SECOND; // tickets are counted over this long, so that few suffice
-const LIST_EACH: Micros = 10 * MS; // of the list service's time, for each gateway that may ask at once
-const BEAT: Micros = 100 * MS; // a wake-up this often; one late by half shows that the gateway stood still
-
+// Constants of several submodules. docs/design.md says why some differ from the published design.
+const ALARM_THRESHOLD_NATS: f64 = 6.0; // height of the statistic that raises an alarm
+const MIN_EARLIER_OUTCOMES: f64 = 30.0; // of earlier builds, before any vote to roll back
+const MIN_OUTCOMES: f64 = 10.0; // of the build on trial before such a vote; of any build in a comparison
+const MIN_JUDGED_AGE: Micros = 5 * SECOND; // machines on trial are not judged for so long after their start
+const MAX_STICKY_KEYS: usize = 100_000; // the builds of further keys are forgotten, to bound the memory
+const SAMPLES_PER_SERVER: usize = 16; // enough to see a failing share, few enough to forget it soon
+const SAMPLES_PER_PROFILE: usize = 64; // for the usual latency
+const PRIOR_ANSWERS: f64 = 2.0; // answers of usual latency that the estimates of slowness start from
+const SAMPLE_WINDOW: Micros = 4 * SECOND; // older samples say nothing about a server's present
+const MAX_SAMPLE_WINDOW: Micros = 20 * SECOND; // where attempts are so few that older samples must serve
+const FAILURE_COST: f64 = 8.0; // of a failed attempt, in usual latencies
+const LONG_SHARE: f64 = 0.5; // of the target latency: attempts in flight for so long indicate overload
+const REQUEST_COUNT_WINDOW: Micros = 10 * SECOND; // long enough for a count where requests are few
+const LIST_CALL_TIME: Micros = 10 * MS; // of the list service, per gateway that may call it at the same time
+const STALL_CHECK_PERIOD: Micros = 100 * MS; // a check late by half of it shows that the gateway stalled
+
+/// The decisions of one gateway.
 pub struct Balancer<H: Host> {
     host: H,
-    terms: Terms,
-    chance: oorandom::Rand64,
-    pub seen: Seen,
-    kept: Micros, // nothing is counted over longer: what came before is forgotten, however long a day is
+    config: BalancerConfig,
+    random: oorandom::Rand64,
+    pub state: BalancerState,
+    retention: Micros, // the longest window of any count; older events are dropped, to bound the memory
 }
 
 impl<H: Host> Balancer<H> {
     pub fn start(host: H, seed: u64, settings: Settings) -> Self {
-        let chance = oorandom::Rand64::new(u128::from(seed));
-        let mut balance = Balancer { host, terms: Terms::default(), chance, seen: Seen::default(), kept: 0 };
-        balance.settings_changed(settings);
-        balance.timer_fired(TimerKind::StallCheck);
-        if balance.terms.follows_list {
-            let first = balance.host.now() + balance.between(0, balance.in_turn(LIST_EACH));
-            balance.host.set_timer(first, TimerKind::ServerList);
+        let random = oorandom::Rand64::new(u128::from(seed));
+        let (config, state) = (BalancerConfig::default(), BalancerState::default());
+        let mut balancer = Balancer { host, config, random, state, retention: 0 };
+        balancer.settings_changed(settings);
+        balancer.timer_fired(TimerKind::StallCheck);
+        if balancer.config.watches_server_list {
+            let longest = balancer.time_for_all_gateways(LIST_CALL_TIME);
+            let first = balancer.host.now() + balancer.random_between(0, longest);
+            balancer.host.set_timer(first, TimerKind::ServerList);
         }
-        balance
+        balancer
     }
 
-    /// Other settings hold from now on. A profile's number keeps its meaning, so what was seen stays; of one
-    /// that is no longer listed it is forgotten. A route that changes its kind wants a new number.
+    /// Applies other settings. A profile's number must keep its meaning, so that the state of listed profiles
+    /// stays; that of others is dropped. A route whose kind of request changes needs a new number.
     pub fn settings_changed(&mut self, settings: Settings) {
-        self.terms = Terms::new(&settings);
-        self.seen.forget_profiles(|profile| self.terms.class(profile).listed);
-        self.kept = self.terms.longest_window().max(FRESH_MOST);
+        self.config = BalancerConfig::new(&settings);
+        self.state.forget_profiles(|profile| self.config.profile(profile).listed);
+        self.retention = self.config.longest_window().max(MAX_SAMPLE_WINDOW);
     }
 
+    /// A complete server list has arrived; servers that are not in it are gone.
     pub fn server_list_replaced(&mut self, list: Vec<ServerInfo>) {
-        self.seen.servers.values_mut().for_each(|server| server.listing.condition = Condition::Gone);
+        self.state.servers.values_mut().for_each(|server| server.info.condition = Condition::Gone);
         self.server_list_updated(list);
     }
 
     pub fn server_list_updated(&mut self, list: Vec<ServerInfo>) {
-        self.seen.listed(list);
-        self.speak();
+        self.state.update_servers(list);
+        self.update_vote();
     }
 
-    /// Asked again after a while that differs between gateways: a service that fails fails all at once.
+    /// A call for the list failed. The next one has a random delay: a service fails for all gateways at once.
     pub fn server_list_failed(&mut self) {
-        let at = self.host.now() + self.between(400 * MS, 1600 * MS + self.in_turn(LIST_EACH));
+        let longest = 1600 * MS + self.time_for_all_gateways(LIST_CALL_TIME);
+        let at = self.host.now() + self.random_between(400 * MS, longest);
         self.host.set_timer(at, TimerKind::ServerList);
     }
 
     pub fn request_arrived(&mut self, id: RequestId, arrival: Arrival) {
-        let came = self.host.now();
-        self.seen.took(arrival.profile, came, came - self.kept);
-        self.seen.tickets.insert(id, Ticket { arrival, came, trips: Vec::new(), over: false });
-        if let Err(why) = self.send(id) {
-            self.give_up(id, why);
+        let now = self.host.now();
+        self.state.add_request(id, arrival, now, now - self.retention);
+        if let Err(reason) = self.send(id) {
+            self.refuse(id, reason);
         }
     }
 
-    /// A begun answer belongs to its client: nothing more is owed.
-    pub fn response_started(&mut self, id: RequestId, _trip: AttemptNo) {
+    /// A server's response is being passed on to the client, so that no other answer can follow.
+    pub fn response_started(&mut self, id: RequestId, _attempt: AttemptNo) {
         self.client_disconnected(id);
     }
 
+    /// An attempt has ended; `done`: its request has its final answer, or its client has disconnected.
     pub fn attempt_ended(
-        &mut self, id: RequestId, trip: AttemptNo, took: Micros, ending: AttemptOutcome, over: bool,
+        &mut self, id: RequestId, number: AttemptNo, latency: Micros, outcome: AttemptOutcome, done: bool,
         _load: &[Option<f64>],
     ) {
         let now = self.host.now();
-        let Some(ticket) = self.seen.tickets.get_mut(&id) else { return };
-        ticket.over |= over;
-        let Some(trip) = ticket.trips.get_mut(trip.0 as usize) else { return };
-        trip.ended = Some(ending);
-        let on = *trip;
-        let (profile, key) = (ticket.arrival.profile, ticket.arrival.key);
-        let landed = self.seen.landed(&on, ending, now);
-        if let Some((zone, silent)) = landed.filter(|_| ending.is_server_evidence() && !self.stood_still()) {
-            let usual = self.seen.usual(profile, now - self.span());
-            let stretch = took as f64 / usual.unwrap_or(took).max(1) as f64;
-            let sample = Sample { at: now, ending, took, zone, silent, stretch, beside: on.beside };
-            self.seen.sampled(on.server, profile, sample, [SAMPLES, NORMAL_KEPT], now - FRESH_MOST);
+        let Some(request) = self.state.requests.get_mut(&id) else { return };
+        request.done |= done;
+        let Arrival { profile, key, .. } = request.arrival;
+        let Some(attempt) = request.end_attempt(number, outcome) else { return };
+        let seen = self.state.server_answered(&attempt, outcome, now);
+        if let Some((zone, silent)) = seen.filter(|_| outcome.is_server_evidence() && !self.has_stalled()) {
+            let usual = self.state.usual_latency(profile, now - self.sample_window());
+            let sample = Sample::new(&attempt, outcome, now, latency, usual, zone, silent);
+            let limits = [SAMPLES_PER_SERVER, SAMPLES_PER_PROFILE];
+            self.state.add_sample(attempt.server, profile, sample, limits, now - MAX_SAMPLE_WINDOW);
         }
-        if ending == AttemptOutcome::Succeeded {
-            self.seen.finished.add(now, (), now - self.kept);
-            if let Some(key) = key.filter(|_| self.terms.keys_stay) {
-                self.seen.key_answered(key, on.build, KEYS_MOST);
+        if outcome == AttemptOutcome::Succeeded {
+            self.state.recent_successes.add(now, (), now - self.retention);
+            if let Some(key) = key.filter(|_| self.config.sticky_keys) {
+                self.state.key_answered(key, attempt.build, MAX_STICKY_KEYS);
             }
         }
-        self.judge(&on, profile, took, ending);
-        let ticket = &self.seen.tickets[&id];
-        if !ticket.over
-            && ticket.none_out()
-            && let Err(why) = self.send(id)
-        {
-            self.give_up(id, why);
+        self.judge_attempt(&attempt, profile, latency, outcome);
+        let needs_attempt = self.state.requests[&id].needs_attempt();
+        if needs_attempt && let Err(reason) = self.send(id) {
+            self.refuse(id, reason);
         }
-        self.seen.close(id);
-        self.speak();
+        self.state.remove_if_done(id);
+        self.update_vote();
     }
 
     pub fn client_disconnected(&mut self, id: RequestId) {
-        self.seen.end(id);
+        self.state.finish(id);
     }
 
-    /// The gateway ends: every ticket still open gets its final answer now.
+    /// The gateway stops: every open request gets its final answer now.
     pub fn stop(&mut self) {
-        let open = self.seen.tickets.iter().filter(|(_, ticket)| !ticket.over).map(|(id, _)| *id);
-        open.collect::<Vec<_>>().into_iter().for_each(|id| self.give_up(id, Refusal::Stopping));
-    }
-
-    pub fn rollout_updated(&mut self, news: RolloutStatus) {
-        if self.seen.news.is_some_and(|old| old.build < news.build) {
-            // The time that nine in ten answers kept, where they are enough; none if all was worse already,
-            // else a good build is held for the last one's faults. What slows all from then on shows late.
-            let calm = self.seen.worse.take().is_none();
-            let since = self.host.now() - self.span();
-            let tail = |profile: &ProfileId| {
-                let mut times: Vec<_> = self.seen.answers(*profile, since).collect();
-                times.sort_unstable();
-                (times.len() as f64 >= LEAST_ON_TRIAL).then(|| (*profile, times[times.len() * 9 / 10]))
-            };
-            self.seen.before = self.seen.times.keys().filter(|_| calm).filter_map(tail).collect();
-            // What is older than the last build but one says nothing of any build to come.
-            self.seen.forget_before(BuildNo(news.build.0.saturating_sub(2)));
+        self.state.open_requests().into_iter().for_each(|id| self.refuse(id, Refusal::Stopping));
+    }
+
+    /// The platform has sent the state of the newest build's rollout.
+    pub fn rollout_updated(&mut self, rollout: RolloutStatus) {
+        if self.state.rollout.is_some_and(|old| old.build < rollout.build) {
+            // Latencies are compared with those just before the trial, if there are enough. If all was slow
+            // already they are not, as a good build would be held for the faults of the last one. Harm: a
+            // build that slows all servers from then on is found out late.
+            let normal = self.state.slower_since.take().is_none();
+            let since = self.host.now() - self.sample_window();
+            let slowest_tenth = self.state.latency_quantiles(since, MIN_OUTCOMES, [9, 10]);
+            self.state.latency_before = if normal { slowest_tenth } else { BTreeMap::new() };
+            // Builds before the last but one say nothing about any build to come.
+            self.state.forget_before(BuildNo(rollout.build.0.saturating_sub(2)));
         }
-        self.seen.told_news(news, self.host.now());
-        self.speak();
+        self.state.set_rollout(rollout, self.host.now());
+        self.update_vote();
     }
 
-    /// A tally waits until the rest of its batch is in: with the earlier build's still missing, trouble that
-    /// all share would look like the new build's.
+    /// The platform has sent a tally. It is judged once the rest of its batch is in: while the earlier
+    /// build's is missing, a fault that all builds share would look like the new build's.
     pub fn tally_received(&mut self, tally: Tally) {
-        self.seen.tallies.push(tally);
+        self.state.pending_tallies.push(tally);
         self.host.set_timer(self.host.now() + 1, TimerKind::Vote);
     }
 
-    pub fn timer_fired(&mut self, wake: TimerKind) {
-        match wake {
-            TimerKind::Request(id) => self.overdue(id),
-            TimerKind::Vote => self.weigh_tallies(),
+    pub fn timer_fired(&mut self, timer: TimerKind) {
+        match timer {
+            TimerKind::Request(id) => self.attempt_overdue(id),
+            TimerKind::Vote => self.judge_tallies(),
             TimerKind::ServerList => self.host.watch_server_list(true),
             TimerKind::StallCheck => {
                 let now = self.host.now();
-                if self.stood_still() {
-                    self.seen.stalled = now;
+                if self.has_stalled() {
+                    self.state.stalled_at = now;
                 }
-                self.seen.forget_times(now - FRESH_MOST);
-                self.seen.beat = now + BEAT;
-                self.host.set_timer(self.seen.beat, TimerKind::StallCheck);
+                self.state.forget_samples(now - MAX_SAMPLE_WINDOW);
+                self.state.stall_check_due_at = now + STALL_CHECK_PERIOD;
+                self.host.set_timer(self.state.stall_check_due_at, TimerKind::StallCheck);
             }
         }
     }
 
-    pub fn probe_ended(&mut self, _: ServerId, _: AttemptOutcome, _took: Micros, _load: &[Option<f64>]) {}
+    /// A probe has ended. The balancer sends none, so that this does nothing.
+    pub fn probe_ended(&mut self, _: ServerId, _: AttemptOutcome, _latency: Micros, _load: &[Option<f64>]) {}
 
-    /// Whether this gateway stood still until just now. What piled up meanwhile comes late for that reason
-    /// alone, and says nothing of a server or build but whether it erred.
-    fn stood_still(&self) -> bool {
-        let now = self.host.now();
-        now == self.seen.stalled || (self.seen.beat > 0 && now > self.seen.beat + BEAT / 2)
+    /// Whether this gateway stalled until just now. Events that piled up meanwhile come late for that reason
+    /// alone: their times say nothing about a server or build, only errors do.
+    fn has_stalled(&self) -> bool {
+        let (now, due_at) = (self.host.now(), self.state.stall_check_due_at);
+        now == self.state.stalled_at || (due_at > 0 && now > due_at + STALL_CHECK_PERIOD / 2)
     }
 
-    /// How far back samples tell of a server's present: 4 s, or longer where trips are few.
-    fn span(&self) -> Micros {
-        let many = self.seen.taken.0.len().checked_sub(2 * self.seen.servers.len() + 1);
-        many.map_or(FRESH_MOST, |at| self.host.now() - self.seen.taken.0[at].0).clamp(FRESH, FRESH_MOST)
+    /// How far back samples count: for two requests per server, within the two limits.
+    fn sample_window(&self) -> Micros {
+        let earliest = self.state.recent_requests.time_before(2 * self.state.servers.len());
+        let window = earliest.map_or(MAX_SAMPLE_WINDOW, |at| self.host.now() - at);
+        window.clamp(SAMPLE_WINDOW, MAX_SAMPLE_WINDOW)
     }
 
-    /// Room for every gateway in turn, at this much for each; 5 s at most, as a list must be asked for.
-    fn in_turn(&self, each: Micros) -> Micros {
-        (each * self.terms.fleet() as Micros).min(5 * SECOND)
+    /// Time for one call of each gateway in turn, at most 5 s, as the list must be fetched some time.
+    fn time_for_all_gateways(&self, each: Micros) -> Micros {
+        (each * self.config.gateways() as Micros).min(5 * SECOND)
     }
 
-    fn between(&mut self, least: Micros, most: Micros) -> Micros {
-        least + (self.chance.rand_float() * (most - least) as f64) as Micros
+    fn random_between(&mut self, least: Micros, most: Micros) -> Micros {
+        least + (self.random.rand_float() * (most - least) as f64) as Micros
     }
 }
--- a/src/balance/shedding.rs
+++ b/src/balance/shedding.rs
@@ -1,100 +1,102 @@
-//! Scarcity (load shedding): who waits and who is turned back where there is not room for all.
+//! Load shedding: how long requests may wait where there is not room for all, and how they are refused.
 
 use super::*;
+use AttemptOutcome::{Cancelled, Rejected, Succeeded, TimedOut};
 
-const JAMMED: f64 = 1.5; // agreed times that a trip without an answer counts for in the pressure
-const RANKED: f64 = 2.0; // times as much is let wait where ranks decide
-const COME_BACK_SPARE: Micros = 20 * MS; // of the time left: an answer is on its way for a while
-const STEADY: f64 = 3.0; // trips beside those out here that a server's load is taken to have: other gateways'
-const SEEN_LOAD: f64 = 2.0; // times the most load that an answer came under, for which growth is foretold
-const LOST: f64 = 4.0; // of what many answers take, the most that a trip without one counts for as pressure
+const OVERLOAD_SHARE: f64 = 1.5; // share of the target latency that an attempt without an answer counts as
+const MIN_WAIT_SHARE: f64 = 0.4; // of the time left, that a wait may fill for the least valuable profile
+const VALUE_WAIT_SHARE: f64 = 0.3; // that it may fill in addition for the most valuable profile
+const RANKED_WAIT_FACTOR: f64 = 2.0; // how much longer requests may wait where ranks decide
+const RETRY_AFTER_MARGIN: Micros = 20 * MS; // of the time left, as the answer takes a while to arrive
+const OTHERS_IN_FLIGHT: f64 = 3.0; // attempts of other gateways that a server is assumed to have
+const MAX_LOAD_GROWTH: f64 = 2.0; // beyond the highest load of an answer, for which latency is predicted
+const LOST_FACTOR: f64 = 4.0; // of the mean of many answers, the most that an attempt without one counts as
 
 impl<H: Host> Balancer<H> {
-    /// What part of their agreed time the last trips in a zone took, or in all where that tells nothing, and
-    /// of all profiles, as a small gateway has no more to go by. A trip without an answer counts as late, and
-    /// one long out before it ends; but where answers are quick it is lost, not queued: a tenth lost is no jam.
+    /// The share of their target latency that recent attempts took, by zone, or over all zones where a zone
+    /// has too few. Profiles count together, as a small gateway has no more to go by. An attempt without an
+    /// answer counts as late, once in flight for long even before it ends. Where answers are quick, it counts
+    /// as lost instead of queued: one answer in ten that is lost is no overload.
     pub(super) fn pressure(&self) -> impl Fn(ZoneId) -> Option<f64> + use<H> {
-        let (now, aim) = (self.host.now(), |profile| self.terms.class(profile).on_time as f64);
-        let ended = self.seen.times.iter().flat_map(|(profile, kept)| {
-            let (fresh, aim) = (from(kept, now - FRESH), aim(*profile));
-            fresh.filter_map(move |s| match s.ending {
-                AttemptOutcome::Succeeded => Some((Some(s.zone), s.took as f64 / aim, true)),
-                AttemptOutcome::Rejected => Some((Some(s.zone), JAMMED, true)),
-                AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => Some((Some(s.zone), JAMMED, false)),
+        let now = self.host.now();
+        let target = |profile| self.config.profile(profile).target_latency as f64;
+        let ended = self.state.samples.iter().flat_map(|(profile, samples)| {
+            let (recent, target) = (samples_after(samples, now - SAMPLE_WINDOW), target(*profile));
+            recent.filter_map(move |sample| match sample.outcome {
+                Succeeded => Some((Some(sample.zone), sample.latency as f64 / target, true)),
+                Rejected => Some((Some(sample.zone), OVERLOAD_SHARE, true)),
+                TimedOut | Cancelled => Some((Some(sample.zone), OVERLOAD_SHARE, false)),
                 _ => None,
             })
         });
-        let out = self.seen.out().map(|(profile, trip)| {
-            let there = self.seen.servers.get(&trip.server).map(|server| server.listing.zone);
-            (there, (now - trip.sent) as f64 / aim(profile))
+        let in_flight = self.state.in_flight_times(now);
+        let late = in_flight.map(|(profile, zone, time)| {
+            let share = time as f64 / target(profile);
+            (zone, share.min(OVERLOAD_SHARE), false)
         });
-        let long = out.filter(|(_, part)| *part >= LONG_OUT);
-        let parts: Vec<_> = ended.chain(long.map(|(zone, part)| (zone, part.min(JAMMED), false))).collect();
-        let mean = move |zone: Option<ZoneId>| {
-            let here = |there: &Option<ZoneId>| there.is_none() || zone.is_none() || *there == zone;
-            let of = |answers| {
-                let chosen = parts.iter().filter(move |part| here(&part.0) && part.2 == answers);
-                chosen.map(|(_, part, _)| *part)
-            };
-            let (sum, quick) = (of(true).sum::<f64>(), of(true).count());
-            let most = if quick < SAMPLES { JAMMED } else { LOST * sum / quick as f64 };
-            let sum = of(false).fold(sum, |sum, part| sum + part.min(most));
-            let count = (quick + of(false).count()) as f64;
-            (count >= 2.0).then(|| sum / count)
+        let late = late.filter(|(_, share, _)| *share >= LONG_SHARE);
+        let shares = LatencyShares(ended.chain(late).collect());
+        let limit = |sum: f64, count: usize| match count {
+            ..SAMPLES_PER_SERVER => OVERLOAD_SHARE,
+            _ => LOST_FACTOR * sum / count as f64,
         };
+        let mean = move |zone| shares.mean(zone, 2, limit);
         move |zone| mean(Some(zone)).or_else(|| mean(None))
     }
 
-    /// The time that a trip should take at the server: as its last answers did beside what is usual, for more
-    /// or fewer trips out now than then. Without that part a queue that has gone would turn tickets back. It
-    /// grows up to twice the load that an answer came under: beyond, nothing shows that load matters there.
-    pub(super) fn expected(&self, server: &Server, usual: f64) -> f64 {
-        let Some(seen) = server.answered(self.host.now(), FRESH) else { return usual };
-        let slowness = (PRIOR + seen.stretch) / (PRIOR + seen.count);
-        let load = |out: f64| out + STEADY;
-        let out = load(server.out.len() as f64).min(SEEN_LOAD * load(seen.beside_most));
-        usual * slowness * out / load(seen.beside / seen.count)
+    /// The latency to expect of a server: the usual one, times its recent slowness, times the growth of its
+    /// load since then. Without the load a queue that is gone would have requests refused. Load counts up to
+    /// a factor beyond the highest one that an answer came under, as nothing shows that more load matters.
+    pub(super) fn expected_latency(&self, server: &Server, usual: f64) -> f64 {
+        let Some(seen) = server.answer_totals(self.host.now(), SAMPLE_WINDOW) else { return usual };
+        let slowness = (PRIOR_ANSWERS + seen.latency_ratios) / (PRIOR_ANSWERS + seen.count);
+        let load = |in_flight: f64| in_flight + OTHERS_IN_FLIGHT;
+        let present = load(server.in_flight.len() as f64).min(MAX_LOAD_GROWTH * load(seen.max_in_flight));
+        usual * slowness * present / load(seen.in_flight / seen.count)
     }
 
-    /// The part of the time left that the expected time may fill before a ticket is turned back: most for the
-    /// profile with most benefit for its time, or its work where that counts, or for the first of the ranks seen
-    /// lately. With ranks a late answer has its worth too, and servers' queues are short: more is let wait.
-    pub(super) fn patience(&self, view: &View, profile: ProfileId) -> f64 {
-        let worth = |profile: ProfileId| self.terms.class(profile).worth;
-        let rank = |profile: &ProfileId| self.terms.class(*profile).rank;
-        let part = if let Some(own) = rank(&profile) {
-            let widen = |(least, most): (f64, f64), rank: f64| (least.min(rank), most.max(rank));
-            let (first, last) = self.seen.times.keys().filter_map(rank).fold((own, own), widen);
+    /// The share of its time left that a request may wait before it is refused. It is highest for the profile
+    /// with the highest value per time, or per work where that counts, or for the highest rank seen lately.
+    /// With ranks, late answers have value too and servers' queues are short, so that waits may be longer.
+    pub(super) fn wait_share(&self, view: &FleetView, profile: ProfileId) -> f64 {
+        let value = |profile: ProfileId| self.config.profile(profile).value;
+        let rank = |profile: &ProfileId| self.config.profile(*profile).rank;
+        let relative = if let Some(own) = rank(&profile) {
+            let widen = |(first, last): (f64, f64), rank: f64| (first.min(rank), last.max(rank));
+            let (first, last) = self.state.samples.keys().filter_map(rank).fold((own, own), widen);
             Some(1.0 - (own - first) / (last - first).max(f64::MIN_POSITIVE))
-        } else if self.terms.worth_by_work {
-            Some(worth(profile) / self.terms.most_worth)
+        } else if self.config.value_by_work {
+            Some(value(profile) / self.config.highest_value)
         } else {
-            let densities = view.usuals.iter().map(|(p, usual)| worth(*p) / (*usual).max(1) as f64);
-            let most = densities.fold(f64::MIN_POSITIVE, f64::max);
-            view.usual(profile).map(|usual| worth(profile) / usual.max(1) as f64 / most)
+            let per_time = |profile, latency: Micros| value(profile) / latency.max(1) as f64;
+            let densities = view.usual_latencies.iter().map(|(profile, usual)| per_time(*profile, *usual));
+            let highest = densities.fold(f64::MIN_POSITIVE, f64::max);
+            view.usual_latency(profile).map(|usual| per_time(profile, usual) / highest)
         };
-        (0.4 + 0.3 * part.unwrap_or(1.0)) * if rank(&profile).is_some() { RANKED } else { 1.0 }
+        let factor = if rank(&profile).is_some() { RANKED_WAIT_FACTOR } else { 1.0 };
+        (MIN_WAIT_SHARE + VALUE_WAIT_SHARE * relative.unwrap_or(1.0)) * factor
     }
 
-    /// The final answer of a ticket that gets no further trip: turned back where that promises no lie, with a
-    /// time to come back that its client will keep to.
-    pub(super) fn give_up(&mut self, id: RequestId, why: Refusal) {
-        self.host.request_refused(id, why);
-        let ticket = &self.seen.tickets[&id];
-        let ran = ticket.trips.iter().any(Trip::may_have_run);
-        let class = self.terms.class(ticket.arrival.profile);
-        let drops_all = class.repeat == Repeat::Keyed && class.scope == Scope::All;
-        let harmless = !ran || class.repeat == Repeat::Safe || drops_all;
-        if harmless {
-            let left = ticket.came + ticket.arrival.time_left - self.host.now();
-            let heeded = |share: f64| (share * left as f64) as Micros - COME_BACK_SPARE;
-            let heeded = self.terms.come_back_share.map_or(Micros::MAX, heeded);
-            let most = self.terms.come_back.map(|most| most.min(heeded)).filter(|most| *most > 0);
-            let wait = most.map(|most| self.between(most / 2, most));
-            self.host.reject(id, wait);
+    /// Gives a request its final answer when it gets no further attempt. It is rejected, which promises that
+    /// a repeat does no harm, only if that is true, with a `Retry-After` that its client will keep to.
+    pub(super) fn refuse(&mut self, id: RequestId, reason: Refusal) {
+        self.host.request_refused(id, reason);
+        let request = &self.state.requests[&id];
+        let may_have_run = request.attempts.iter().any(Attempt::may_have_run);
+        let profile = self.config.profile(request.arrival.profile);
+        let deduplicated =
+            profile.repeat_safety == RepeatSafety::Keyed && profile.dedup_scope == DedupScope::All;
+        if !may_have_run || profile.repeat_safety == RepeatSafety::Safe || deduplicated {
+            let time_left = request.arrived_at + request.arrival.time_left - self.host.now();
+            let kept_to = |share: f64| (share * time_left as f64) as Micros - RETRY_AFTER_MARGIN;
+            let kept_to = self.config.retry_after_share.map_or(Micros::MAX, kept_to);
+            let longest = self.config.max_retry_after.map(|longest| longest.min(kept_to));
+            let retry_after = longest.filter(|longest| *longest > 0);
+            let retry_after = retry_after.map(|longest| self.random_between(longest / 2, longest));
+            self.host.reject(id, retry_after);
         } else {
             self.host.fail(id);
         }
-        self.seen.end(id);
+        self.state.finish(id);
     }
 }
--- a/src/balance/verdict.rs
+++ b/src/balance/verdict.rs
@@ -1,99 +1,111 @@
-//! Verdict (fusion): whether the statistics alarm, and the vote that follows.
+//! Verdict: whether the statistics raise an alarm on the newest build, and the vote that follows from it.
 
 use super::*;
 use RolloutPhase::{InTrial, Released, RolledBack, RollingBack};
+use Signal::SlowerThanBefore;
 
-const H_COUNTED: f64 = 10.0; // of counts that reach all gateways, whose alarms are not independent
-const ON_WAIT: Micros = 3 * SECOND; // from the latest start among the trial build's machines
-const WORSE_WAIT: Micros = 12 * SECOND; // longer than most passing slowdowns last
-const STAGE_WAIT: Micros = 10 * SECOND; // for a stage's machines to be listed
+const SHARED_ALARM_THRESHOLD_NATS: f64 = 10.0; // of counts that all gateways get: alarms are not independent
+const PROMOTION_DELAY: Micros = 3 * SECOND; // after the latest start among the trial build's machines
+const SLOWDOWN_DELAY: Micros = 12 * SECOND; // before it counts against a build: most pass sooner
+const LISTING_DELAY: Micros = 10 * SECOND; // for a stage's machines to be listed
 
 impl<H: Host> Balancer<H> {
-    /// Casts the vote that stands to reason now, if it is another than the last or due again.
-    pub(super) fn speak(&mut self) {
-        let now = self.host.now();
-        let Some(news) = self.seen.news else { return };
-        // Any statistic may rise by chance: the more there are, the higher they stand, less so where many
-        // must rise together. Disputes come one by one: the more gateways must alarm, the less each need see.
-        let alone = H - self.terms.noes_needed.ln();
-        let statistics = self.terms.fleet().max(1.0) * self.terms.listed.max(1) as f64;
-        let any = H + statistics.ln() / self.terms.noes_needed;
-        let up = |(sign, record): &(&Sign, &Record)| {
-            let own = if **sign == Sign::Disputed { alone.max(H / 4.0) } else { any };
-            let height = if matches!(sign, Sign::Counted(_)) { H_COUNTED } else { own };
-            record.y >= height
-                && record.outcomes.iter().map(|(.., count)| count).sum::<f64>() >= LEAST_ON_TRIAL
-                && self.past(news.build, **sign).1 >= LEAST_EARLIER
-        };
-        let records = self.seen.records.get(&news.build).into_iter().flatten();
-        let risen: Vec<Sign> = records.filter(up).map(|(sign, _)| *sign).collect();
-        let worse = risen.contains(&Sign::Worse).then(|| self.seen.worse.unwrap_or(now));
-        let lasting = worse.filter(|since| now - since >= WORSE_WAIT).map(|_| Sign::Worse);
-        let alarm = risen.into_iter().find(|sign| *sign != Sign::Worse).or(lasting);
-        self.seen.worse = worse;
-        if alarm != self.seen.alarm {
-            let sign = alarm.map_or("none".to_owned(), |sign| format!("{sign:?}"));
-            self.host.log(&format!("alarm on build {}: {sign}", news.build.0));
-            self.seen.alarm = alarm;
-        }
-        let timer = self.terms.by_timer;
-        let ripe = if news.phase == InTrial { self.ripe(news) } else { 0 };
-        let vote = match news.phase {
+    /// Updates the alarm, and casts a vote if it differs from the last one or that one is due again.
+    pub(super) fn update_vote(&mut self) {
+        let Some(rollout) = self.state.rollout else { return };
+        self.update_alarm(rollout.build);
+        let (now, alarm) = (self.host.now(), self.state.alarm.is_some());
+        let slower = self.state.slower_since.is_some();
+        let due_at = if rollout.phase == InTrial { self.promotion_due_at(rollout) } else { 0 };
+        let vote = match rollout.phase {
             RollingBack | RolledBack => return,
-            _ if alarm.is_some() => Vote::RollBack,
+            _ if alarm => Vote::RollBack,
             Released => return,
-            InTrial if worse.is_some() && timer => Vote::Hold,
-            InTrial if worse.is_some() && self.seen.cast.is_some() => Vote::Abstain,
-            InTrial if timer || worse.is_some() => return,
-            InTrial if std::mem::replace(&mut self.seen.ripe, ripe) == ripe && ripe > now => return,
-            InTrial if ripe > now => return self.host.set_timer(ripe, TimerKind::Vote),
-            InTrial if !self.may_pass() => return,
+            InTrial if slower && self.config.promoted_by_timer => Vote::Hold,
+            InTrial if slower && self.state.last_vote.is_some() => Vote::Abstain,
+            InTrial if self.config.promoted_by_timer || slower => return,
+            InTrial if self.state.set_promotion_due_at(due_at) && due_at > now => return,
+            InTrial if due_at > now => return self.host.set_timer(due_at, TimerKind::Vote),
+            InTrial if !self.promotion_is_possible() => return,
             InTrial => Vote::Promote,
         };
-        let cast = Some((news.build, news.stage, vote));
-        if self.seen.cast == cast && now < self.seen.again {
+        let cast = Some((rollout.build, rollout.stage, vote));
+        if self.state.last_vote == cast && now < self.state.next_vote_at {
             return;
         }
-        self.host.cast_vote(news.build, news.stage, vote);
-        self.seen.cast = cast;
-        self.again_in(self.terms.vote_wait + 100 * MS);
+        self.host.cast_vote(rollout.build, rollout.stage, vote);
+        self.state.last_vote = cast;
+        self.schedule_vote(self.config.vote_timeout + 100 * MS);
+    }
+
+    /// Finds the signal that raises an alarm on a build and logs changes. A slowdown of all builds must last.
+    /// Statistics may rise by chance, so that the threshold grows with their number, less so where many
+    /// gateways must vote alike. Disputes come one by one: the more votes are needed, the less each takes.
+    fn update_alarm(&mut self, build: BuildNo) {
+        let now = self.host.now();
+        let votes_needed = self.config.votes_to_roll_back;
+        let statistics = self.config.gateways().max(1.0) * self.config.listed_profiles.max(1) as f64;
+        let dispute_threshold = (ALARM_THRESHOLD_NATS - votes_needed.ln()).max(ALARM_THRESHOLD_NATS / 4.0);
+        let own_threshold = ALARM_THRESHOLD_NATS + statistics.ln() / votes_needed;
+        let raised = |(signal, record): &(&Signal, &CusumRecord)| {
+            let threshold = match signal {
+                Signal::SharedFailures(_) => SHARED_ALARM_THRESHOLD_NATS,
+                Signal::DisputedAnswers => dispute_threshold,
+                _ => own_threshold,
+            };
+            record.statistic_nats >= threshold
+                && record.total() >= MIN_OUTCOMES
+                && self.baseline(build, **signal).total >= MIN_EARLIER_OUTCOMES
+        };
+        let records = self.state.records.get(&build).into_iter().flatten();
+        let raised: Vec<Signal> = records.filter(raised).map(|(signal, _)| *signal).collect();
+        let slower_since = raised.contains(&SlowerThanBefore).then(|| self.state.slower_since.unwrap_or(now));
+        let lasting = slower_since.filter(|since| now - since >= SLOWDOWN_DELAY).map(|_| SlowerThanBefore);
+        let alarm = raised.into_iter().find(|signal| *signal != SlowerThanBefore).or(lasting);
+        self.state.slower_since = slower_since;
+        if alarm != self.state.alarm {
+            let signal = alarm.map_or("none".to_owned(), |signal| signal.to_string());
+            self.host.log(&format!("alarm on build {}: {signal}", build.0));
+            self.state.alarm = alarm;
+        }
     }
 
-    fn again_in(&mut self, wait: Micros) {
-        self.seen.again = self.host.now() + wait;
-        self.host.set_timer(self.seen.again, TimerKind::Vote);
+    fn schedule_vote(&mut self, wait: Micros) {
+        self.state.next_vote_at = self.host.now() + wait;
+        self.host.set_timer(self.state.next_vote_at, TimerKind::Vote);
     }
 
-    /// When the vote on is due: 3 s after the latest start among the trial build's listed machines; where
-    /// none is ever listed, after `STAGE_WAIT`.
-    fn ripe(&self, news: RolloutStatus) -> Micros {
-        let trial = self.seen.healthy().filter(|s| s.listing.build == news.build);
-        let latest = trial.map(|server| server.listing.started.unwrap_or(0)).max();
-        latest.map_or(self.seen.news_at - news.age + STAGE_WAIT, |started| started + ON_WAIT)
+    /// When the vote to promote is due: a while after the latest start among the trial build's machines, or,
+    /// if none is ever listed, after the stage began.
+    fn promotion_due_at(&self, rollout: RolloutStatus) -> Micros {
+        let latest = self.state.latest_start(rollout.build);
+        let unlisted = self.state.rollout_at - rollout.age + LISTING_DELAY;
+        latest.map_or(unlisted, |started| started + PROMOTION_DELAY)
     }
 
-    /// A vote that counted is renewed well within its life; one that did not is cast again after a while
-    /// that differs between gateways, since the platform's calls are shared. A moot one waits for news.
-    /// Where calls are so few that not all votes can stand at once, one that stands is not renewed before its
-    /// end: it would take the call of another, and less than half of what can stand would. Harm: it lapses
-    /// for a moment. One back asks again at once, as it must get through before those on.
-    pub fn vote_answered(&mut self, taken: VoteResult) {
-        let (life, answer) = (self.terms.vote_life.unwrap_or(SECOND), self.terms.vote_wait);
-        let turn = (self.terms.fleet() / self.terms.votes_per_s * SECOND as f64) as Micros;
-        let back = matches!(self.seen.cast, Some((.., Vote::RollBack)));
-        let wait = match taken {
+    /// The platform has answered a vote. One that counts is renewed well within its lifetime. One that failed
+    /// is cast again after a random time, since all gateways share the platform's calls, but one to roll back
+    /// soon, as it must get through first. A moot one waits for news of the rollout. Where calls are so few
+    /// that not all votes can count at once, a vote is renewed only at its end: sooner would take the calls
+    /// of others, and fewer than half of the votes possible would count. Harm: it lapses for a moment.
+    pub fn vote_answered(&mut self, result: VoteResult) {
+        let (lifetime, timeout) = (self.config.vote_lifetime.unwrap_or(SECOND), self.config.vote_timeout);
+        let all_gateways = (self.config.gateways() / self.config.votes_per_s * SECOND as f64) as Micros;
+        let roll_back = matches!(self.state.last_vote, Some((.., Vote::RollBack)));
+        let wait = match result {
             VoteResult::Counted => {
-                let least = (life / 2).max(turn.min(life));
-                self.between(least, (life - answer).max(least))
+                let least = (lifetime / 2).max(all_gateways.min(lifetime));
+                self.random_between(least, (lifetime - timeout).max(least))
             }
             VoteResult::Moot => SECOND,
-            _ => self.between(200 * MS, 600 * MS + if back { 0 } else { turn.min(5 * SECOND) }),
+            _ if roll_back => self.random_between(200 * MS, 600 * MS),
+            _ => self.random_between(200 * MS, 600 * MS + all_gateways.min(5 * SECOND)),
         };
-        self.again_in(wait);
+        self.schedule_vote(wait);
     }
 
-    /// Whether votes on can stand in time at all; where not, they only take the calls of those back.
-    fn may_pass(&self) -> bool {
-        self.terms.ayes_needed <= (self.terms.votes_per_s * self.terms.vote_life_s).max(1.0)
+    /// Whether enough votes to promote can count at once; else they would only take calls from the others.
+    fn promotion_is_possible(&self) -> bool {
+        self.config.votes_to_promote <= (self.config.votes_per_s * self.config.vote_lifetime_s).max(1.0)
     }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,25 +1,26 @@
-//! The settings as the decisions read them: parsed once, each profile's in a list. Guards against reading
-//! text for each ticket. Nothing here decides; what is absent has the value that it always had.
+//! The settings in typed form, as the decisions use them. They are parsed once per change, so that no request
+//! pays for reading text. Nothing here decides anything; each setting that is absent has a fixed default.
 
-use crate::host::{Micros, ProfileId, SECOND, Settings};
+use crate::host::{GatewayId, Micros, ProfileId, SECOND, Settings};
 
-/// Profiles at most: a silly `classes.count` must not eat the memory.
-const PROFILES_MOST: usize = 65_536;
+/// Upper bound on the number of profiles, so that a mistyped `classes.count` can't exhaust the memory.
+const MAX_PROFILES: usize = 65_536;
 
-/// Whether a ticket that may have run may go out again. Whatever settings call otherwise (`unsafe`,
-/// `upload`, nothing) may not.
+/// Whether a request that may have run on a server may be sent again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RepeatSafety {
+    /// Always: running it twice has the same effect as running it once.
     Safe,
-    /// While servers remember its key.
+    /// While servers remember its idempotency key and drop repeats.
     Keyed,
+    /// Never. All other values of the setting (`unsafe`, `upload`, none) mean this.
     #[default]
     Never,
 }
 
-/// Which servers drop repeats of a key.
+/// Which servers share the memory of idempotency keys, and so drop repeats of each other's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
@@ -27,202 +28,237 @@
     Server,
 }
 
-/// One profile's settings, `classes.N`.
+/// The settings of one request profile, `classes.N`.
 #[derive(Clone, Debug)]
-pub struct Class {
-    /// Settings name it; numbers of profiles that are gone stay unused.
+pub struct ProfileConfig {
+    /// The settings name this profile. Numbers of removed profiles stay unused.
     pub listed: bool,
-    /// The agreed time, and whether settings agree on any.
-    pub on_time: Micros,
-    pub agreed: bool,
-    pub repeat: Repeat,
-    pub scope: Scope,
-    /// How long a key is remembered.
-    pub window: Micros,
-    /// The benefit.
-    pub worth: f64,
-    /// 0 is first; where given, it says who is turned back first, instead of the benefit.
+    pub target_latency: Micros,
+    /// The target latency comes from the settings, not from the default.
+    pub has_target_latency: bool,
+    pub repeat_safety: RepeatSafety,
+    pub dedup_scope: DedupScope,
+    /// How long servers remember an idempotency key.
+    pub dedup_window: Micros,
+    /// Benefit of an answer in time, in arbitrary units.
+    pub value: f64,
+    /// Priority, 0 being the highest. Where given, it decides who is shed first, instead of `value`.
     pub rank: Option<f64>,
-    pub try_limit: Option<usize>,
+    /// Limit of attempts per request.
+    pub max_attempts: Option<usize>,
 }
 
-/// What holds where nothing is said of a profile.
-const UNSAID: Class = Class {
+/// Defaults of a profile.
+const DEFAULT_PROFILE: ProfileConfig = ProfileConfig {
     listed: false,
-    on_time: SECOND,
-    agreed: false,
-    repeat: Repeat::Never,
-    scope: Scope::Server,
-    window: 0,
-    worth: 1.0,
+    target_latency: SECOND,
+    has_target_latency: false,
+    repeat_safety: RepeatSafety::Never,
+    dedup_scope: DedupScope::Server,
+    dedup_window: 0,
+    value: 1.0,
     rank: None,
-    try_limit: None,
+    max_attempts: None,
 };
 
-/// Further trips over all gateways: this one's part of it.
+/// This gateway's share of the retries that the platform allows all gateways together: `ratio * requests +
+/// slack` in any window.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
-    /// Of the tickets taken in a window.
+pub struct RetryBudget {
+    /// Retries per request received in the window.
     pub ratio: f64,
-    /// Trips in a window beside that.
+    /// Retries per window in addition.
     pub slack: f64,
     pub window: Micros,
 }
 
-/// All of them. `None` and the least values stand for what was not given.
+/// All settings of the balancer.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
-    pub classes: Vec<Class>,
-    /// How many of them settings name.
-    pub listed: usize,
-    /// The most benefit that a profile has.
-    pub most_worth: f64,
-    pub worth_by_work: bool,
-    /// Trips of a ticket, where its profile does not say.
-    pub try_limit: usize,
-    pub budget: Option<Budget>,
-    pub second_copies: bool,
+pub struct BalancerConfig {
+    pub profiles: Vec<ProfileConfig>,
+    /// Number of profiles that the settings name.
+    pub listed_profiles: usize,
+    /// The highest `value` of a profile.
+    pub highest_value: f64,
+    /// `value` is per unit of work, so that it is compared without dividing by the latency.
+    pub value_by_work: bool,
+    /// Limit of attempts per request where its profile sets none.
+    pub max_attempts: usize,
+    pub retry_budget: Option<RetryBudget>,
+    /// A request without an answer may get a second attempt beside the first (hedging).
+    pub hedging: bool,
+    /// An attempt without an answer may be cancelled, to send the request elsewhere.
     pub cancelling: bool,
-    /// The longest time to come back; `None`: none is told.
-    pub come_back: Option<Micros>,
-    /// Of the time left, the most that a time to come back may be.
-    pub come_back_share: Option<f64>,
-    pub may_tell: bool,
-    pub idle_close: Option<Micros>,
-    /// The gateway's own zone, its number and how many there are.
+    /// Longest `Retry-After`; `None`: none is sent.
+    pub max_retry_after: Option<Micros>,
+    /// Longest `Retry-After` as a share of the client's time left.
+    pub retry_after_share: Option<f64>,
+    /// Gateways may send outcomes to each other.
+    pub peer_messages: bool,
+    /// How long servers keep idle connections open.
+    pub idle_timeout: Option<Micros>,
+    /// This gateway's zone.
     pub zone: Option<usize>,
-    pub index: Option<f64>,
+    /// This gateway's index in the fleet of gateways.
+    pub gateway_index: Option<f64>,
+    /// Number of gateways.
     pub fleet_size: Option<f64>,
-    pub follows_list: bool,
-    pub price_peer: f64,
-    pub price_crossing: f64,
-    pub cold: Micros,
-    pub cold_from: f64,
-    pub fall: Option<Micros>,
+    /// The server list is watched; else it arrives without being requested.
+    pub watches_server_list: bool,
+    /// Price of 256 bytes to one peer, in points of the overall result.
+    pub peer_price: f64,
+    /// Price of crossing zones, in points of the overall result.
+    pub crossing_price: f64,
+    /// How long a machine takes to warm up after its start.
+    pub warmup: Micros,
+    /// Share of its capacity that a machine surely has at its start.
+    pub cold_capacity: f64,
+    /// Window over which load on a warming machine is limited.
+    pub cold_load_window: Option<Micros>,
+    /// Window over which exposure to a build on trial is counted.
     pub exposure_window: Option<Micros>,
-    /// Exposure counts from when the news first named the build, not over a window.
-    pub exposure_since_order: bool,
-    /// Zones lie so near each other that times tell of builds across them as well.
-    pub zones_near: bool,
-    /// Errors of machines on trial that are young count; only their times don't.
-    pub young_err: bool,
-    /// A late answer is worth something: a further trip has until the client gives up.
-    pub late_counts: bool,
-    /// The first stage's cap.
-    pub first_cap: f64,
-    pub free: f64,
-    /// The stage from which builds on trial get more than repeatable tickets.
-    pub shielded: f64,
-    pub counted_by_class: bool,
-    pub keys_stay: bool,
-    pub by_timer: bool,
-    pub vote_life: Option<Micros>,
-    pub vote_life_s: f64,
-    pub vote_wait: Micros,
+    /// Exposure is counted from the start of the rollout instead of over a window.
+    pub exposure_since_start: bool,
+    /// Zones are so close that latencies can be compared across them.
+    pub zones_comparable: bool,
+    /// Errors of machines on trial that just started are evidence; only their latencies are not.
+    pub judge_young_errors: bool,
+    /// A late answer still has value, so that retries have until the client gives up.
+    pub late_answers_count: bool,
+    /// Exposure cap of the first stage.
+    pub first_stage_cap: f64,
+    /// Attempts that a build on trial may get in addition to its share.
+    pub free_attempts: f64,
+    /// First stage in which a build on trial gets other requests than those that are safe to repeat.
+    pub first_unshielded_stage: f64,
+    /// Exposure is counted for each profile on its own.
+    pub exposure_by_profile: bool,
+    /// A key that a newer build answered stays with that build.
+    pub sticky_keys: bool,
+    /// A stage is promoted by a timer, which votes can only hold or roll back.
+    pub promoted_by_timer: bool,
+    /// How long a vote counts.
+    pub vote_lifetime: Option<Micros>,
+    pub vote_lifetime_s: f64,
+    /// How long the answer to a vote may take.
+    pub vote_timeout: Micros,
+    /// Votes per second that the platform accepts from all gateways together.
     pub votes_per_s: f64,
-    pub ayes_needed: f64,
-    pub noes_needed: f64,
-    pub sums_every: Micros,
+    pub votes_to_promote: f64,
+    pub votes_to_roll_back: f64,
+    /// Period of the platform's tallies; 0: it sends none.
+    pub tally_period: Micros,
 }
 
-impl Terms {
+impl BalancerConfig {
+    /// Parses the settings; values that are absent or unreadable get their defaults.
     pub fn new(settings: &Settings) -> Self {
         let number = |name: &str| settings.number(name);
         let time = |name: &str| settings.micros(name);
         let is = |name: &str, value: &str| settings.text(name) == Some(value);
         let on = |name: &str| settings.flag(name) == Some(true);
-        let count = (number("classes.count").unwrap_or(0.0) as usize).min(PROFILES_MOST);
-        let classes: Vec<Class> = (0..count).map(|n| class(settings, ProfileId(n))).collect();
-        let budget = || {
+        let count = (number("classes.count").unwrap_or(0.0) as usize).min(MAX_PROFILES);
+        let profiles: Vec<ProfileConfig> =
+            (0..count).map(|n| profile_config(settings, ProfileId(n))).collect();
+        let retry_budget = || {
             let [ratio, slack] =
                 ["retry_ratio", "retry_slack"].map(|n| number(&format!("policy_limits.{n}")));
             let window = time("policy_limits.retry_window").filter(|window| *window > 0);
-            Some(Budget { ratio: ratio?, slack: slack?, window: window? })
+            Some(RetryBudget { ratio: ratio?, slack: slack?, window: window? })
         };
-        let most_wait = time("policy_limits.max_retry_after").filter(|most| *most > 0);
-        Terms {
-            most_worth: classes.iter().map(|class| class.worth).fold(f64::MIN_POSITIVE, f64::max),
-            listed: classes.iter().filter(|class| class.listed).count(),
-            classes,
-            worth_by_work: is("worth_by", "work"),
-            try_limit: number("policy_limits.try_limit").unwrap_or(1.0) as usize,
-            budget: budget(),
-            second_copies: on("policy_limits.second_copies"),
+        let max_retry_after = time("policy_limits.max_retry_after").filter(|longest| *longest > 0);
+        BalancerConfig {
+            highest_value: profiles.iter().map(|profile| profile.value).fold(f64::MIN_POSITIVE, f64::max),
+            listed_profiles: profiles.iter().filter(|profile| profile.listed).count(),
+            profiles,
+            value_by_work: is("worth_by", "work"),
+            max_attempts: number("policy_limits.try_limit").unwrap_or(1.0) as usize,
+            retry_budget: retry_budget(),
+            hedging: on("policy_limits.second_copies"),
             cancelling: on("policy_limits.cancelling"),
-            come_back: most_wait.filter(|_| on("policy_limits.retry_after")),
-            come_back_share: number("policy_limits.retry_after_share"),
-            may_tell: on("policy_limits.may_tell"),
-            idle_close: time("policy_limits.idle_close"),
+            max_retry_after: max_retry_after.filter(|_| on("policy_limits.retry_after")),
+            retry_after_share: number("policy_limits.retry_after_share"),
+            peer_messages: on("policy_limits.may_tell"),
+            idle_timeout: time("policy_limits.idle_close"),
             zone: number("zone").map(|zone| zone as usize),
-            index: number("index"),
+            gateway_index: number("index"),
             fleet_size: number("fleet_size"),
-            follows_list: is("discovery", "subscribe"),
-            price_peer: number("prices.peer").unwrap_or(0.0),
-            price_crossing: number("prices.cross_zone").unwrap_or(0.0),
-            cold: time("safety.cold").unwrap_or(0),
-            cold_from: number("safety.cold_from").unwrap_or(0.0),
-            fall: time("safety.fall"),
+            watches_server_list: is("discovery", "subscribe"),
+            peer_price: number("prices.peer").unwrap_or(0.0),
+            crossing_price: number("prices.cross_zone").unwrap_or(0.0),
+            warmup: time("safety.cold").unwrap_or(0),
+            cold_capacity: number("safety.cold_from").unwrap_or(0.0),
+            cold_load_window: time("safety.fall"),
             exposure_window: time("domain.exposure_window"),
-            exposure_since_order: is("domain.exposure_since", "order"),
-            zones_near: on("domain.zones_near"),
-            young_err: on("domain.young_err"),
-            late_counts: on("domain.late_counts"),
-            first_cap: settings
+            exposure_since_start: is("domain.exposure_since", "order"),
+            zones_comparable: on("domain.zones_near"),
+            judge_young_errors: on("domain.young_err"),
+            late_answers_count: on("domain.late_counts"),
+            first_stage_cap: settings
                 .items("domain.exposure_caps")
                 .first()
                 .map_or(0.0, |c| c.parse().unwrap_or(0.0)),
-            free: number("domain.free").unwrap_or(0.0),
-            shielded: number("domain.shielded").unwrap_or(0.0),
-            counted_by_class: is("domain.counted_by", "class"),
-            keys_stay: on("domain.keys_stay"),
-            by_timer: is("domain.gate_mode", "timer"),
-            vote_life: time("domain.vote_life"),
-            vote_life_s: number("domain.vote_life").unwrap_or(1.0),
-            vote_wait: time("domain.vote_wait").unwrap_or(SECOND),
+            free_attempts: number("domain.free").unwrap_or(0.0),
+            first_unshielded_stage: number("domain.shielded").unwrap_or(0.0),
+            exposure_by_profile: is("domain.counted_by", "class"),
+            sticky_keys: on("domain.keys_stay"),
+            promoted_by_timer: is("domain.gate_mode", "timer"),
+            vote_lifetime: time("domain.vote_life"),
+            vote_lifetime_s: number("domain.vote_life").unwrap_or(1.0),
+            vote_timeout: time("domain.vote_wait").unwrap_or(SECOND),
             votes_per_s: number("domain.votes_per_s").unwrap_or(100.0).max(1.0),
-            ayes_needed: number("domain.ayes_needed").unwrap_or(1.0),
-            noes_needed: number("domain.noes_needed").unwrap_or(1.0).max(1.0),
-            sums_every: time("domain.sums_every").unwrap_or(0),
+            votes_to_promote: number("domain.ayes_needed").unwrap_or(1.0),
+            votes_to_roll_back: number("domain.noes_needed").unwrap_or(1.0).max(1.0),
+            tally_period: time("domain.sums_every").unwrap_or(0),
         }
     }
 
-    /// A profile's settings; those of none that is listed are as if none were given.
-    pub fn class(&self, profile: ProfileId) -> &Class {
-        self.classes.get(profile.0).unwrap_or(&UNSAID)
+    /// The settings of a profile; the defaults if it is not listed.
+    pub fn profile(&self, profile: ProfileId) -> &ProfileConfig {
+        self.profiles.get(profile.0).unwrap_or(&DEFAULT_PROFILE)
     }
 
-    /// The longest that anything is counted over by settings.
+    /// The longest window over which the settings have anything counted.
     pub fn longest_window(&self) -> Micros {
-        let budget = self.budget.map(|budget| budget.window);
-        self.exposure_window.max(self.fall).max(budget).unwrap_or(0)
+        let retry_window = self.retry_budget.map(|budget| budget.window);
+        self.exposure_window.max(self.cold_load_window).max(retry_window).unwrap_or(0)
+    }
+
+    /// The other gateways in turn, from the one at a fraction `start` of the fleet on.
+    pub fn other_gateways(&self, start: f64) -> impl Iterator<Item = GatewayId> + use<> {
+        let gateways = self.fleet_size.unwrap_or(0.0) as usize;
+        let own = self.gateway_index.unwrap_or(0.0) as usize;
+        let first = (start * gateways as f64) as usize;
+        (0..gateways).map(move |n| GatewayId((first + n) % gateways)).filter(move |peer| peer.0 != own)
     }
 
-    /// How many gateways there are.
-    pub fn fleet(&self) -> f64 {
+    /// The number of gateways, 1 where it is unknown.
+    pub fn gateways(&self) -> f64 {
         self.fleet_size.unwrap_or(1.0)
     }
 }
 
-fn class(settings: &Settings, profile: ProfileId) -> Class {
+/// Parses the settings of one profile.
+fn profile_config(settings: &Settings, profile: ProfileId) -> ProfileConfig {
     let name = |what| profile.setting_name(what);
-    Class {
+    ProfileConfig {
         listed: ["on_time", "repeat"].iter().any(|what| settings.text(&name(what)).is_some()),
-        on_time: settings.micros(&name("on_time")).unwrap_or(UNSAID.on_time),
-        agreed: settings.micros(&name("on_time")).is_some(),
-        repeat: match settings.text(&name("repeat")) {
-            Some("safe") => Repeat::Safe,
-            Some("keyed") => Repeat::Keyed,
-            _ => Repeat::Never,
+        target_latency: settings.micros(&name("on_time")).unwrap_or(DEFAULT_PROFILE.target_latency),
+        has_target_latency: settings.micros(&name("on_time")).is_some(),
+        repeat_safety: match settings.text(&name("repeat")) {
+            Some("safe") => RepeatSafety::Safe,
+            Some("keyed") => RepeatSafety::Keyed,
+            _ => RepeatSafety::Never,
         },
-        scope: match settings.text(&name("dedup_scope")) {
-            Some("all") => Scope::All,
-            Some("zone") => Scope::Zone,
-            Some("cell") => Scope::Cell,
-            _ => Scope::Server,
+        dedup_scope: match settings.text(&name("dedup_scope")) {
+            Some("all") => DedupScope::All,
+            Some("zone") => DedupScope::Zone,
+            Some("cell") => DedupScope::Cell,
+            _ => DedupScope::Server,
         },
-        window: settings.micros(&name("window")).unwrap_or(UNSAID.window),
-        worth: settings.number(&name("worth")).unwrap_or(UNSAID.worth),
+        dedup_window: settings.micros(&name("window")).unwrap_or(DEFAULT_PROFILE.dedup_window),
+        value: settings.number(&name("worth")).unwrap_or(DEFAULT_PROFILE.value),
         rank: settings.number(&name("rank")),
-        try_limit: settings.number(&name("try_limit")).map(|limit| limit as usize),
+        max_attempts: settings.number(&name("try_limit")).map(|limit| limit as usize),
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,8 @@
-//! garnetdoor votes on staged releases and routes tickets through them.
+//! The decisions of a gateway: it sends requests to the builds and servers of a service and votes on staged
+//! releases.
 //!
-//! All decisions are in [`balance`]; what a gateway must offer them is in [`host`].
+//! All decisions are in [`balance`]. [`host`] is what a gateway must offer, [`config`] the settings in typed
+//! form, and [`state`] what is remembered between events.
 
 pub mod balance;
 pub mod config;
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,15 +1,15 @@
-//! Names that others use, numbered for the decisions.
+//! Numbers in place of names, as the balancer uses them.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The value that a protocol has this word for; `words` stand in the order of `all`.
-pub fn value_of_name<T: Copy, const N: usize>(all: [T; N], words: [&str; N], word: &str) -> Option<T> {
-    words.iter().position(|known| *known == word).map(|number| all[number])
+/// The value that a protocol calls `name`; `names` are in the order of `values`.
+pub fn value_of_name<T: Copy, const N: usize>(values: [T; N], names: [&str; N], name: &str) -> Option<T> {
+    names.iter().position(|known| *known == name).map(|index| values[index])
 }
 
-/// Names of one sort, numbered in the order of their first appearance. The map is only looked up, never
-/// walked, so that its order shows nowhere.
+/// Names of one kind, numbered in the order of their first appearance. The map is never iterated over, so
+/// that its random order affects nothing.
 #[derive(Default)]
 pub struct NameTable {
     numbers: HashMap<Rc<str>, usize>,
@@ -17,7 +17,7 @@
 }
 
 impl NameTable {
-    /// The number of a name, a new one for a new name.
+    /// The number of a name; a new name gets a new number.
     pub fn intern(&mut self, name: &str) -> usize {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -28,12 +28,12 @@
         self.names.len() - 1
     }
 
-    /// The name of a number that was given out.
+    /// The name that has a number; panics for a number that was never given to a name.
     pub fn name(&self, number: usize) -> Rc<str> {
         self.names[number].clone()
     }
 
-    /// Forgets a name. Should it come again, it gets another number.
+    /// Forgets a name. If it appears again, it gets another number.
     pub fn forget(&mut self, number: usize) {
         if let Some(name) = self.names.get_mut(number) {
             self.numbers.remove(&std::mem::replace(name, "".into()));
