--- a/crates/garnetdoor-gateway/src/lifecycle/serve.rs
+++ b/crates/garnetdoor-gateway/src/lifecycle/serve.rs
@@ -19,8 +19,8 @@
 use crate::config::{self, Config};
 use crate::event::{ConnId, Effect, Event};
 use crate::log;
-use crate::memory::reducer::Reducer;
 use crate::operator::{self, Operator};
+use crate::state::reducer::Reducer;
 use crate::wire::relay::Relay;
 use crate::wire::socket::{self, Link};
 
--- a/crates/garnetdoor-gateway/src/memory/conns.rs
+++ b/crates/garnetdoor-gateway/src/state/connections.rs
@@ -4,8 +4,8 @@
 
 use garnetdoor::host::{Micros, ServerId, TicketId, TripNo};
 
-use super::desk::{CLIENT_ASKS, Desk, MS, SECOND};
-use super::ticket::Process;
+use super::gateway_state::{CLIENT_ASKS, Desk, MS, SECOND};
+use super::request::Process;
 use super::timers::Timer;
 use crate::event::{ConnId, Effect, Reason};
 use crate::wire::buffer::Buffer;
--- a/crates/garnetdoor-gateway/src/memory/desk.rs
+++ b/crates/garnetdoor-gateway/src/state/gateway_state.rs
@@ -6,10 +6,10 @@
 use garnetdoor::host::{Ending, GatewayId, Micros, Refusal, ServerId, Taken, TicketId, TripNo};
 use garnetdoor::names::Names;
 
-use super::conns::{Conn, Kind};
+use super::connections::{Conn, Kind};
 use super::refusals::{Cause, Refusals, SUMMARY_AFTER};
+use super::request::{Place, Ticket, Trip};
 use super::sessions::Room;
-use super::ticket::{Place, Ticket, Trip};
 use super::timers::{Timer, Timers};
 use crate::config::Config;
 use crate::event::{ConnId, Effect, Reason};
--- a/crates/garnetdoor-gateway/src/memory/host.rs
+++ b/crates/garnetdoor-gateway/src/state/host.rs
@@ -8,9 +8,9 @@
     BuildNo, Ending, GatewayId, Host, Micros, Refusal, ServerId, StageNo, Taken, TicketId, TripNo, Vote, Wake,
 };
 
-use super::conns::{Kind, Work};
-use super::desk::{Desk, Told};
-use super::ticket::Trip;
+use super::connections::{Kind, Work};
+use super::gateway_state::{Desk, Told};
+use super::request::Trip;
 use super::timers::Timer;
 use crate::event::{Effect, Reason};
 use crate::wire::http::Stream;
--- a/crates/garnetdoor-gateway/src/memory/reducer.rs
+++ b/crates/garnetdoor-gateway/src/state/reducer.rs
@@ -9,12 +9,12 @@
 use garnetdoor::host::{Condition, Ending, Host, Micros, News, Taken};
 use garnetdoor_operator::Operator;
 
-use super::conns::{Conn, Kind, Work};
-use super::desk::{Desk, Told};
+use super::connections::{Conn, Kind, Work};
+use super::gateway_state::{Desk, Told};
 use super::host::Handle;
 use super::refusals::Cause;
+use super::request::{Place, Ticket};
 use super::sessions::TurnedBack;
-use super::ticket::{Place, Ticket};
 use super::timers::Timer;
 use crate::config::Config;
 use crate::event::{ConnId, Effect, Event, Reason};
--- a/crates/garnetdoor-gateway/src/memory/servers.rs
+++ b/crates/garnetdoor-gateway/src/state/servers.rs
@@ -4,9 +4,9 @@
 
 use garnetdoor::host::{Condition, Ending, Listing, Micros, ServerId};
 
-use super::conns::{Kind, Work};
-use super::desk::{Desk, MS, Told};
-use super::ticket::{Place, Process};
+use super::connections::{Kind, Work};
+use super::gateway_state::{Desk, MS, Told};
+use super::request::{Place, Process};
 use crate::event::{ConnId, Effect, Reason};
 use crate::wire::discovery::List;
 
--- a/crates/garnetdoor-gateway/src/memory/sessions.rs
+++ b/crates/garnetdoor-gateway/src/state/sessions.rs
@@ -8,11 +8,11 @@
 use garnetdoor_operator::{Operator, Websocket};
 use garnetdoor_sessions::{Act, Admission, End, Key, Opening, Party, Repeats, SessionId, Sessions, Side};
 
-use super::conns::{Kind, Work};
-use super::desk::{Desk, MS};
+use super::connections::{Kind, Work};
+use super::gateway_state::{Desk, MS};
 use super::reducer::Reducer;
 use super::refusals::Cause;
-use super::ticket::Process;
+use super::request::Process;
 use super::timers::{Set, Timer};
 use crate::event::{ConnId, Effect, Join, Parting, Reason};
 use crate::wire::client::{self, Request};
--- a/crates/garnetdoor-gateway/tests/reducer.rs
+++ b/crates/garnetdoor-gateway/tests/reducer.rs
@@ -2,7 +2,7 @@
 
 use garnetdoor_gateway::config::{self, Config};
 use garnetdoor_gateway::event::{ConnId, Effect, Event};
-use garnetdoor_gateway::memory::reducer::Reducer;
+use garnetdoor_gateway::state::reducer::Reducer;
 use garnetdoor_gateway::operator::Operator;
 use serde_json::{Value, json};
 use test_case::test_case;
