--- a/crates/garnetdoor-bind/src/lib.rs
+++ b/crates/garnetdoor-bind/src/lib.rs
@@ -1,38 +1,42 @@
-//! Binding of addresses that another process may hold for a moment: a predecessor that is still ending, or a child that a
-//! predecessor or a port probe has forked, which has a copy of the listening socket until its `exec`.
+//! Binds addresses that another process may still hold for a short time: a predecessor that has not exited
+//! yet, or a child that a predecessor or a port probe has forked, which keeps a copy of the listening socket
+//! until its `exec`.
 
 use std::fmt::Display;
 use std::io;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An address in use is tried again for so long. A gateway that was told to stop ends within 3.6 s.
-pub const WAIT_MOST: Duration = Duration::from_secs(4);
-/// Time between two tries. Holders that are about to `exec` let go within milliseconds.
-const PAUSE: Duration = Duration::from_millis(10);
+/// How long binding an address in use is retried. A gateway that was told to stop exits within 3.6 s.
+pub const RETRY_TIMEOUT: Duration = Duration::from_secs(4);
+/// Pause between two attempts. A forked child that is about to `exec` releases the socket within
+/// milliseconds.
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Calls `bind` until it gives anything but "address in use", for [`WAIT_MOST`] at most; the calling thread sleeps in between.
-/// `waits` is told of the error that the waiting begins with.
+/// Calls `bind` until it succeeds or fails with an error other than "address in use", for at most
+/// [`RETRY_TIMEOUT`]. The calling thread sleeps between attempts. `on_first_retry` is called once, with the
+/// error that caused the first retry.
 ///
 /// # Errors
 ///
-/// Every other error of `bind` at once, and "address in use" after that time; `at` stands before its text.
-pub fn when_free<T>(
-    at: impl Display, mut bind: impl FnMut() -> io::Result<T>, waits: impl FnOnce(&io::Error),
+/// Any other error of `bind` is returned at once, and "address in use" after the timeout. The error's text
+/// begins with `address`.
+pub fn bind_with_retry<T>(
+    address: impl Display, mut bind: impl FnMut() -> io::Result<T>, on_first_retry: impl FnOnce(&io::Error),
 ) -> io::Result<T> {
-    let began = Instant::now();
-    let mut waits = Some(waits);
+    let started = Instant::now();
+    let mut on_first_retry = Some(on_first_retry);
     loop {
         let error = match bind() {
             Ok(bound) => return Ok(bound),
-            Err(error) => io::Error::new(error.kind(), format!("{at}: {error}")),
+            Err(error) => io::Error::new(error.kind(), format!("{address}: {error}")),
         };
-        if error.kind() != io::ErrorKind::AddrInUse || began.elapsed() >= WAIT_MOST {
+        if error.kind() != io::ErrorKind::AddrInUse || started.elapsed() >= RETRY_TIMEOUT {
             return Err(error);
         }
-        if let Some(waits) = waits.take() {
-            waits(&error);
+        if let Some(on_first_retry) = on_first_retry.take() {
+            on_first_retry(&error);
         }
-        thread::sleep(PAUSE);
+        thread::sleep(RETRY_INTERVAL);
     }
 }
--- a/crates/garnetdoor-gateway/src/event.rs
+++ b/crates/garnetdoor-gateway/src/event.rs
@@ -1,4 +1,4 @@
-//! What the reducer is told, and what it asks for.
+//! The reducer's inputs ([`Event`]) and outputs ([`Effect`]).
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -7,161 +7,172 @@
 use garnetdoor_operator::Operator;
 use garnetdoor_sessions::{End, Glance, SessionId, Side};
 
-/// A connection. Those that clients make have even numbers, those that the gateway makes odd ones.
+/// A connection's number. Connections that clients open have even numbers, those that the gateway opens odd
+/// ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
 
-impl ConnId {
-    /// Whether a client made it.
+impl ConnectionId {
+    /// Whether a client opened it.
     pub fn is_client(self) -> bool {
         self.0.is_multiple_of(2)
     }
 }
 
-impl fmt::Display for ConnId {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "c{}", self.0)
+impl fmt::Display for ConnectionId {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "c{}", self.0)
     }
 }
 
-/// What has happened.
+/// Something that has happened outside the reducer.
 #[derive(Debug)]
 pub enum Event {
-    /// A connection stands, whoever made it.
-    Up(ConnId),
-    /// Bytes, and when they had come.
-    Bytes(ConnId, Micros, Vec<u8>),
-    /// All that was asked to be written has been.
-    Written(ConnId),
-    /// An idle connection was no longer good for what was to be written to it, which comes back.
-    Stale(ConnId, Vec<u8>),
-    /// The other side has ended a connection, or it could not be made.
-    Ended(ConnId),
+    /// A connection is established, whichever side opened it.
+    Connected(ConnectionId),
+    /// Bytes read from a connection, and when they had arrived.
+    Received(ConnectionId, Micros, Vec<u8>),
+    /// All bytes that were to be written have been written.
+    Written(ConnectionId),
+    /// An idle connection had closed or received bytes before a message was written to it; the message is
+    /// handed back.
+    Stale(ConnectionId, Vec<u8>),
+    /// The peer has closed a connection, or it could not be established.
+    Closed(ConnectionId),
+    /// A datagram from a peer gateway, with its source address.
     Datagram(SocketAddr, Vec<u8>),
-    /// Nothing else has happened; a timer may be due.
-    Time,
-    /// A client's connection comes from there; told ahead of its `Up`, and only where that is asked for.
-    From(ConnId, IpAddr),
-    /// Whether a session's connections have been joined; if not, something read is still on its way here.
+    /// Nothing else has happened, but a timer may be due.
+    Tick,
+    /// The address that a client's connection comes from; sent before its `Connected`, and only if the
+    /// reducer wants it.
+    ClientAddress(ConnectionId, IpAddr),
+    /// Whether the connections of a session have been joined; if not, bytes that were read are still on their
+    /// way here.
     Joined(SessionId, bool),
-    /// What a session's connections have met.
+    /// Something that ends, or changes, a session was seen on its connections.
     Session(SessionId, End),
-    /// What the sessions' connections show.
-    Glanced(Vec<(SessionId, Glance)>),
-    /// The list service and the platform have these addresses from now on.
+    /// Samples of the activity on all sessions' connections.
+    SessionActivity(Vec<(SessionId, Glance)>),
+    /// New addresses of the list service and of the platform.
     Reload(SocketAddr, SocketAddr),
-    /// The operator file says this from now on.
-    Operate(Box<Operator>),
-    /// The gateway shall stop.
+    /// New content of the operator file.
+    OperatorFile(Box<Operator>),
+    /// The gateway is to stop.
     Stop,
 }
 
-/// What is to be done outside.
+/// Something that the driver is to do outside the reducer.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    Dial(ConnId, SocketAddr, Micros),
-    Write(ConnId, Vec<u8>),
-    /// Write to a connection on which nothing has come that the reducer has not seen, its end included; told
-    /// as stale and closed otherwise.
-    WriteUnused(ConnId, Vec<u8>),
-    /// So many bytes of the connection are no longer held.
-    Consumed(ConnId, usize),
-    /// End the sending side once all is written.
-    Finish(ConnId),
-    Close(ConnId),
-    /// Close a client's connection if nothing has come that the reducer has not seen; told as ended, if so.
-    CloseUnused(ConnId),
+    /// Connect to an address within this time.
+    Dial(ConnectionId, SocketAddr, Micros),
+    Write(ConnectionId, Vec<u8>),
+    /// Write to a connection only if nothing, including its end, has arrived on it that the reducer has not
+    /// seen; otherwise close it and report [`Event::Stale`].
+    WriteIfIdle(ConnectionId, Vec<u8>),
+    /// This many bytes read from the connection are no longer held, so that it may read more.
+    Consumed(ConnectionId, usize),
+    /// Shut down the sending side once everything has been written.
+    ShutdownWrite(ConnectionId),
+    Close(ConnectionId),
+    /// Close a client's connection only if nothing has arrived that the reducer has not seen; reported as
+    /// [`Event::Closed`] if it was closed.
+    CloseIfIdle(ConnectionId),
+    /// Send a datagram to a peer gateway.
     Datagram(SocketAddr, Vec<u8>),
-    /// Join two connections into a session, if nothing has been read that the reducer has not seen.
-    Join(Box<Join>),
-    /// Have both sides of a session told that it closes.
-    Part(SessionId, Box<Parting>),
-    /// End a session now; its client gets a close frame with this code if there is room for one. If its two
-    /// connections were never joined they are closed.
-    Cut(SessionId, u16, [ConnId; 2]),
-    /// Ping a side of a session, with this mask for a server.
+    /// Join two connections into a session, unless bytes have been read that the reducer has not seen.
+    JoinSession(Box<SessionJoin>),
+    /// Send both sides of a session a close frame.
+    CloseSession(SessionId, Box<SessionClose>),
+    /// End a session now; its client gets a close frame with this code if a frame can be sent. If the two
+    /// connections were never joined, they are closed.
+    AbortSession(SessionId, u16, [ConnectionId; 2]),
+    /// Ping one side of a session, with this mask if it is the server.
     Ping(SessionId, Side, [u8; 4]),
-    /// Nothing is left of a session.
-    Forget(SessionId),
-    /// Tell what all sessions' connections show.
-    Glance,
+    /// Drop what is kept of a session that is over.
+    ForgetSession(SessionId),
+    /// Report the activity on all sessions' connections, as [`Event::SessionActivity`].
+    SampleSessions,
     Log(String),
     StopListening,
+    /// End the process.
     Exit,
 }
 
-/// Two connections that become a session. Arrays are by side: the client's first.
+/// Two connections that are to become a session. Arrays are indexed by side: the client's first.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Join {
+pub struct SessionJoin {
     pub session: SessionId,
-    pub conns: [ConnId; 2],
-    /// What has been read of each behind its handshake.
-    pub first: [Vec<u8>; 2],
+    pub connections: [ConnectionId; 2],
+    /// What has been read from each connection after its handshake.
+    pub already_read: [Vec<u8>; 2],
     pub compressed: bool,
-    /// Bytes of one message at most.
-    pub message_most: u64,
+    pub max_message_bytes: u64,
 }
 
-/// How a session closes: the codes and reasons for client and server, and the mask of the frame for the server.
+/// How a session closes: the close codes and reasons for client and server, and the mask of the frame to the
+/// server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Parting {
+pub struct SessionClose {
     pub codes: [u16; 2],
     pub reasons: [String; 2],
     pub mask: [u8; 4],
 }
 
-macro_rules! reasons {
+macro_rules! close_reasons {
     ($($(#[$doc:meta])* $name:ident = $code:literal,)*) => {
-        /// Why a connection ended; the code stands in its log line.
+        /// Why a connection ended; the code is written in its log line.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-        pub enum Reason { $($(#[$doc])* $name,)* }
+        pub enum CloseReason { $($(#[$doc])* $name,)* }
 
-        impl Reason {
-            /// The word for it in log lines.
+        impl CloseReason {
+            /// The reason's code in log lines.
             pub fn code(self) -> &'static str {
-                match self { $(Reason::$name => $code,)* }
+                match self { $(CloseReason::$name => $code,)* }
             }
         }
     };
 }
 
-reasons! {
-    /// The other side closed it between messages.
+close_reasons! {
+    /// The peer closed it between messages.
     PeerClosed = "peer-closed",
-    /// The client closed it with a ticket open.
+    /// The client closed it while a request of it was open.
     ClientLeft = "client-left",
-    /// It never came up.
+    /// It was never established.
     NoConnect = "no-connect",
-    /// It broke while an answer was awaited.
+    /// It broke while an answer was expected.
     Broke = "broke",
-    /// The other side announced its end, or was told of it.
+    /// The peer announced the end of the connection, or was sent such an announcement.
     LastMessage = "last-message",
     Malformed = "malformed",
     TooLarge = "too-large",
-    /// A server spoke with nothing asked, or before it was asked all.
+    /// A server sent bytes with no request outstanding, or before the whole request was written.
     Unasked = "unasked",
-    /// It was idle and had ended, or spoken, when it was to be used.
+    /// It was idle, and had closed or received bytes before it was to be used.
     Stale = "stale",
-    /// The trip was given up.
+    /// The attempt on it timed out.
     TimedOut = "timed-out",
+    /// The attempt on it was cancelled.
     Stopped = "stopped",
-    /// It stood unused for long.
+    /// It was unused for too long.
     Idle = "idle",
-    /// Room was needed.
+    /// Its descriptor was needed for another connection.
     Shed = "shed",
-    /// The server drains, has gone, or is another process by its address, build or start.
+    /// The server is draining or gone, or another process has taken its place: its address, build or start
+    /// time differs.
     Unlisted = "unlisted",
     /// A reload has given the service another address.
     Moved = "moved",
     /// The decisions asked for it.
     Asked = "asked",
-    /// Nothing came for several periods.
+    /// Nothing arrived for several reporting periods.
     Silent = "silent",
     /// The service refused the call.
     Refused = "refused",
-    /// A client came and said nothing.
+    /// A client connected and sent nothing.
     Mute = "mute",
-    /// The other side took or sent its bytes too slowly, or left a message half done.
+    /// The peer sent or received its bytes too slowly, or left a message incomplete.
     Slow = "slow",
     Stopping = "stopping",
 }
--- a/crates/garnetdoor-gateway/src/lib.rs
+++ b/crates/garnetdoor-gateway/src/lib.rs
@@ -1,7 +1,8 @@
-//! The gateway itself: garnetdoor's decisions on sockets. It decides nothing; `garnetdoor::balance` does.
+//! The gateway daemon: runs garnetdoor's decisions on sockets. It makes no routing or voting decisions
+//! itself; `garnetdoor::balance` does.
 //!
-//! `wire` is what is spoken, `state` what is kept and the one reducer that changes it, `lifecycle` start,
-//! reload and stop. `docs/gateway.md` tells how they fit.
+//! `wire` holds the protocols and connections, `state` the gateway's state and the one reducer that changes
+//! it, `lifecycle` start, reload and stop. `docs/gateway.md` describes how they work together.
 
 pub mod clock;
 pub mod config;
--- a/crates/garnetdoor-gateway/src/lifecycle/reload.rs
+++ b/crates/garnetdoor-gateway/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! Signals: to stop, and to read the configuration again.
+//! Signals: SIGTERM and SIGINT stop the gateway, SIGHUP rereads the configuration and the operator file.
 
 use std::io;
 use std::sync::mpsc::Sender;
@@ -12,16 +12,20 @@
 use crate::log;
 use crate::operator;
 
-/// Takes signals from now on; what comes before `follow` waits. Guards against a reload that comes while the
-/// program starts: unhandled, SIGHUP ends it.
-pub fn signals() -> io::Result<Signals> {
+/// Registers for the signals; those that arrive before [`handle_signals`] are kept for it. A SIGHUP during
+/// the start would otherwise terminate the program.
+pub fn register_signals() -> io::Result<Signals> {
     Signals::new([SIGTERM, SIGINT, SIGHUP])
 }
 
-/// Acts on signals in a thread of its own, where reading a file holds nothing up.
-/// `operator` is the operator file's path, if there is one; it is read again beside the configuration, and each of
-/// the two counts where it is good.
-pub fn follow(mut signals: Signals, mut config: Config, operator: Option<String>, events: Sender<Event>) {
+/// Handles signals in a thread of its own, so that reading a file blocks nothing else.
+///
+/// `operator_path` is the path of the operator file, if the command line names one. At a reload the
+/// configuration and the operator file are each applied if they are valid; a faulty one is logged and changes
+/// nothing.
+pub fn handle_signals(
+    mut signals: Signals, mut config: Config, operator_path: Option<String>, events: Sender<Event>,
+) {
     thread::spawn(move || {
         for signal in signals.forever() {
             if signal != SIGHUP {
@@ -35,11 +39,11 @@
                     }
                     let _ = events.send(Event::Reload(config.discovery, config.platform));
                 }
-                // A file that is half written or wrong changes nothing.
+                // The file is wrong, or was read while it was being written.
                 Err(faults) => faults.iter().for_each(|fault| log!("reload left out: {fault}")),
             }
-            match operator::read(operator.as_deref(), Some(&config.settings)) {
-                Ok(operator) => drop(events.send(Event::Operate(Box::new(operator)))),
+            match operator::read(operator_path.as_deref(), Some(&config.settings)) {
+                Ok(operator) => drop(events.send(Event::OperatorFile(Box::new(operator)))),
                 Err(faults) => faults.iter().for_each(|fault| log!("reload left out: {fault}")),
             }
         }
--- a/crates/garnetdoor-gateway/src/state/connections.rs
+++ b/crates/garnetdoor-gateway/src/state/connections.rs
@@ -1,255 +1,297 @@
-//! Connections: what each is for, room for them, what is written to them, and how they end.
+//! Connections: what each is for, how room is made for them, what is written to them, and how they end.
 
 use std::net::SocketAddr;
 
 use garnetdoor::host::{Micros, ServerId, TicketId, TripNo};
 
-use super::gateway_state::{CLIENT_ASKS, Desk, MS, SECOND};
-use super::request::Process;
+use super::gateway_state::{CLIENT_MESSAGE_TIMEOUT, GatewayState, MS, SECOND};
+use super::servers::ServerProcess;
 use super::timers::Timer;
-use crate::event::{ConnId, Effect, Reason};
+use crate::event::{CloseReason, ConnectionId, Effect};
 use crate::wire::buffer::Buffer;
-use crate::wire::http::Stream;
-
-/// A client that is one too many has so long for its ticket: it is to be turned back and gone.
-const SURPLUS_SLOW: Micros = SECOND;
-/// A client that has had nothing to do for so long has no ticket under way.
-const CLIENT_RESTS: Micros = 500 * MS;
-/// The same where clients that rest hold much of what clients may hold at all.
-const CLIENT_RESTS_LEAST: Micros = 250 * MS;
-/// One that came so long ago and has said nothing is not about to.
-const CLIENT_MUTE: Micros = 50 * MS;
-
-/// What a connection to a server is busy with.
+use crate::wire::http::ChunkedStream;
+
+/// How long a surplus client may take to send its request, which is rejected before the connection is closed.
+const SURPLUS_CLIENT_TIMEOUT: Micros = SECOND;
+/// An answered client that has been idle for so long is taken to have no request on its way, and may be shed.
+const SHED_ANSWERED_AFTER: Micros = 500 * MS;
+/// The same while more clients are idle than may be.
+const SHED_CROWDED_AFTER: Micros = 250 * MS;
+/// A client that connected so long ago and has sent nothing is not expected to send soon, and may be shed.
+const SHED_MUTE_AFTER: Micros = 50 * MS;
+/// One in so many connections is kept free of clients for servers and votes, in a flood of clients.
+const FLOOD_RESERVE_PART: usize = 8;
+
+/// What a connection to a server is used for at present.
 #[derive(Clone, Copy)]
-pub enum Work {
-    Trip(TicketId, TripNo),
+pub enum ServerCall {
+    Attempt(TicketId, TripNo),
+    /// A probe, and when it was sent.
     Probe(Micros),
 }
 
 /// What a connection is for.
-pub enum Kind {
+pub enum ConnectionKind {
     Client {
-        ticket: Option<TicketId>,
-        /// Nothing more is read from it.
+        /// Its open request.
+        request: Option<TicketId>,
+        /// Its last message has been read; anything further is discarded.
         last: bool,
-        /// It is one too many: its ticket is turned back unseen.
+        /// There are too many clients: its request is rejected without a decision.
         surplus: bool,
+        /// It has been answered at least once.
         answered: bool,
-        /// A part of its next message has come.
-        begun: bool,
+        /// A part of its next message has arrived.
+        message_started: bool,
     },
     Server {
         server: ServerId,
-        process: Process,
-        work: Option<Work>,
+        process: ServerProcess,
+        call: Option<ServerCall>,
     },
+    /// A call for the whole list.
     List,
-    Watch(Stream),
+    /// The stream of the list's changes.
+    Watch(ChunkedStream),
+    /// A vote.
     Vote,
-    Notices(Stream),
+    /// The platform's stream of events.
+    EventStream(ChunkedStream),
 }
 
-impl Kind {
+impl ConnectionKind {
+    /// The kind's name in log lines.
     fn name(&self) -> &'static str {
         match self {
-            Kind::Client { .. } => "client",
-            Kind::Server { .. } => "server",
-            Kind::List => "list",
-            Kind::Watch(_) => "watch",
-            Kind::Vote => "vote",
-            Kind::Notices(_) => "notices",
+            ConnectionKind::Client { .. } => "client",
+            ConnectionKind::Server { .. } => "server",
+            ConnectionKind::List => "list",
+            ConnectionKind::Watch(_) => "watch",
+            ConnectionKind::Vote => "vote",
+            ConnectionKind::EventStream(_) => "notices",
         }
     }
 }
 
-/// One connection, whoever made it.
-pub struct Conn {
-    pub kind: Kind,
+/// The state of one connection, whichever side opened it.
+pub struct ConnectionState {
+    pub kind: ConnectionKind,
     pub buffer: Buffer,
-    /// What is written once it is up.
-    pub pending: Option<Vec<u8>>,
-    /// Something is not written yet.
-    pub unwritten: bool,
-    /// When the bytes read last had come.
-    pub heard: Micros,
-    /// When it was last asked something.
-    pub asked: Micros,
+    /// The message that is written once the connection is established.
+    pub first_message: Option<Vec<u8>>,
+    /// Whether something is not completely written yet.
+    pub write_pending: bool,
+    /// When the bytes that were read last had arrived.
+    pub last_received_at: Micros,
+    /// When it was last sent a request.
+    pub last_request_at: Micros,
     /// Since when it has had nothing to do, if it has.
-    pub since: Micros,
-    /// It is a client's that is to end unless something has come just now.
-    pub leaves: Option<Reason>,
-    /// When it has stood as it does for too long, and the earliest timer that will look.
-    pub due: Option<Micros>,
-    looked: Option<Micros>,
+    pub idle_since: Micros,
+    /// A client's connection that is to be closed for this reason, unless something has just arrived.
+    pub closing: Option<CloseReason>,
+    /// When it will have been in its present state for too long.
+    pub deadline: Option<Micros>,
+    /// When the earliest timer that checks the deadline is due.
+    deadline_timer: Option<Micros>,
 }
 
-impl Conn {
-    /// Whether it is a client's with nothing to do that stays.
+impl ConnectionState {
+    /// Whether it is a client's connection that is idle and not about to be closed.
     pub fn is_idle_client(&self) -> bool {
-        let waits = matches!(self.kind, Kind::Client { ticket: None, last: false, .. });
-        waits && self.buffer.is_empty() && !self.unwritten && self.leaves.is_none()
+        let is_waiting = matches!(self.kind, ConnectionKind::Client { request: None, last: false, .. });
+        is_waiting && self.buffer.is_empty() && !self.write_pending && self.closing.is_none()
     }
 }
 
-impl Desk {
-    /// Takes in a connection that stands or is being made.
-    pub fn add(&mut self, id: ConnId, kind: Kind) -> &mut Conn {
-        let (buffer, heard, since) = (Buffer::default(), self.now, self.now);
-        let conn = Conn {
+/// The order in which idle connections are shed.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+enum ShedRank {
+    /// A client that has sent nothing since it connected.
+    MuteClient,
+    AnsweredClient,
+    Server,
+}
+
+impl GatewayState {
+    /// Adds a connection that is established or being established.
+    pub fn add_connection(&mut self, id: ConnectionId, kind: ConnectionKind) -> &mut ConnectionState {
+        let connection = ConnectionState {
             kind,
-            buffer,
-            pending: None,
-            unwritten: false,
-            heard,
-            asked: self.now,
-            since,
-            leaves: None,
-            due: None,
-            looked: None,
+            buffer: Buffer::default(),
+            first_message: None,
+            write_pending: false,
+            last_received_at: self.now,
+            last_request_at: self.now,
+            idle_since: self.now,
+            closing: None,
+            deadline: None,
+            deadline_timer: None,
         };
-        self.conns.entry(id).insert_entry(conn).into_mut()
+        self.connections.entry(id).insert_entry(connection).into_mut()
     }
 
-    /// Makes room for one more connection, if some can be given up: clients that came and say nothing first,
-    /// then idle clients, then idle servers. A client that came or was answered just now is likely to have a
-    /// ticket under way, and sends what crosses the closing only once more. With no old ones left, new
-    /// clients are turned back instead.
-    fn room(&mut self, most: usize) -> bool {
-        let leaving = || self.conns.values().filter(|conn| conn.leaves.is_some()).count();
-        if self.conns.len() < most || self.conns.len() - leaving() < most {
+    /// Makes room for one more connection if there are `max` already, by shedding an idle one; false if there
+    /// is none to shed. Clients that connected and sent nothing go first, then answered clients, then
+    /// servers, each time the one that has been idle longest. A client that connected or was answered just
+    /// now probably has a request on its way, and retries a request that crosses the close only once; if all
+    /// clients are that recent, new ones are rejected instead.
+    fn make_room(&mut self, max: usize) -> bool {
+        let closing = || self.connections.values().filter(|connection| connection.closing.is_some()).count();
+        if self.connections.len() < max || self.connections.len() - closing() < max {
             return true;
         }
-        let idle = |conn: &Conn| match conn.kind {
-            Kind::Server { work: None, .. } => Some(2),
-            Kind::Client { answered, .. } => {
-                let (rank, least) = if answered { (1, CLIENT_RESTS) } else { (0, CLIENT_MUTE) };
-                (conn.is_idle_client() && self.now - conn.since >= least).then_some(rank)
+        let rank = |connection: &ConnectionState| match connection.kind {
+            ConnectionKind::Server { call: None, .. } => Some(ShedRank::Server),
+            ConnectionKind::Client { answered, .. } => {
+                let (rank, min_idle) = if answered {
+                    (ShedRank::AnsweredClient, SHED_ANSWERED_AFTER)
+                } else {
+                    (ShedRank::MuteClient, SHED_MUTE_AFTER)
+                };
+                let is_shed = connection.is_idle_client() && self.now - connection.idle_since >= min_idle;
+                is_shed.then_some(rank)
             }
             _ => None,
         };
-        let ranked = self.conns.iter().filter_map(|(id, conn)| Some((idle(conn)?, conn.since, *id)));
-        let Some((.., id)) = ranked.min() else { return false };
+        let candidates = self
+            .connections
+            .iter()
+            .filter_map(|(id, connection)| Some((rank(connection)?, connection.idle_since, *id)));
+        let Some((.., id)) = candidates.min() else { return false };
         if id.is_client() {
-            self.close_unused(id, Reason::Shed)
+            self.close_if_idle(id, CloseReason::Shed)
         } else {
-            drop(self.close(id, Reason::Shed))
+            drop(self.close(id, CloseReason::Shed))
         }
         true
     }
 
-    /// Ends a client's idle connection. What is read from it and not seen here yet counts first: its client
-    /// would take an orderly end for a lost ticket.
-    pub fn close_unused(&mut self, id: ConnId, reason: Reason) {
-        if let Some(conn) = self.conns.get_mut(&id) {
-            conn.leaves = Some(reason);
-            self.effects.push(Effect::CloseUnused(id));
+    /// Closes a client's idle connection, unless bytes from it have been read that were not seen here yet;
+    /// these are handled first. The client would take an orderly end after its request for a lost request.
+    pub fn close_if_idle(&mut self, id: ConnectionId, reason: CloseReason) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.closing = Some(reason);
+            self.effects.push(Effect::CloseIfIdle(id));
         }
     }
 
-    /// Lets the clients go that have rested longest, where many rest. Guards against clients that ask once
-    /// and keep their connection: together they may hold a third of the descriptors, and until some are let
-    /// go no other client gets one. Harm: a client that would have asked again connects anew.
-    pub fn rested(&mut self) {
-        let rests =
-            |conn: &Conn| matches!(conn.kind, Kind::Client { answered: true, .. }) && conn.is_idle_client();
-        let resting = || self.conns.iter().filter(|(_, conn)| rests(conn));
-        let many = resting().count().saturating_sub(self.resting_most);
-        if many == 0 {
+    /// Closes the clients' connections that have been idle longest, if more are idle than may be. Clients
+    /// that send one request and keep their connection could otherwise hold a third of the descriptors
+    /// together, and no other client would get one until some of them are closed. The drawback: a client that
+    /// would have sent another request has to reconnect.
+    pub fn shed_idle_clients(&mut self) {
+        let is_idle = |connection: &ConnectionState| {
+            matches!(connection.kind, ConnectionKind::Client { answered: true, .. })
+                && connection.is_idle_client()
+        };
+        let idle = || self.connections.iter().filter(|(_, connection)| is_idle(connection));
+        let surplus = idle().count().saturating_sub(self.max_idle_clients);
+        if surplus == 0 {
             return;
         }
-        let mut idle: Vec<_> = resting().map(|(id, conn)| (conn.since, *id)).collect();
-        idle.sort_unstable();
-        idle.truncate(many);
-        idle.retain(|(since, _)| self.now - since >= CLIENT_RESTS_LEAST);
-        idle.into_iter().for_each(|(_, id)| self.close_unused(id, Reason::Shed));
+        let mut longest_idle: Vec<_> = idle().map(|(id, connection)| (connection.idle_since, *id)).collect();
+        longest_idle.sort_unstable();
+        longest_idle.truncate(surplus);
+        longest_idle.retain(|(idle_since, _)| self.now - idle_since >= SHED_CROWDED_AFTER);
+        longest_idle.into_iter().for_each(|(_, id)| self.close_if_idle(id, CloseReason::Shed));
     }
 
     /// A client has connected.
-    pub fn client_came(&mut self, id: ConnId) {
-        let surplus = !self.room(self.clients_most);
-        self.add(id, Kind::Client { ticket: None, last: false, surplus, answered: false, begun: false });
-        self.due_at(id, Some(self.now + if surplus { SURPLUS_SLOW } else { CLIENT_ASKS }));
-        // Guards the last descriptors, which servers and votes need, against a flood. Harm: a client whose
-        // ticket crosses two such closings has lost it.
-        if self.conns.len() > self.most - self.most / 8 {
-            self.close_unused(id, Reason::Shed);
+    pub fn client_connected(&mut self, id: ConnectionId) {
+        let surplus = !self.make_room(self.max_clients);
+        let kind = ConnectionKind::Client {
+            request: None,
+            last: false,
+            surplus,
+            answered: false,
+            message_started: false,
+        };
+        self.add_connection(id, kind);
+        let timeout = if surplus { SURPLUS_CLIENT_TIMEOUT } else { CLIENT_MESSAGE_TIMEOUT };
+        self.set_deadline(id, Some(self.now + timeout));
+        // Keeps the last descriptors, which servers and votes need, free in a flood of clients. The drawback:
+        // a client whose request crosses two such closes has lost it.
+        if self.connections.len() > self.max_connections - self.max_connections / FLOOD_RESERVE_PART {
+            self.close_if_idle(id, CloseReason::Shed);
         }
     }
 
+    /// Opens a connection on which a message is to be written; `None` if there is no room for it.
     pub(super) fn dial(
-        &mut self, to: SocketAddr, kind: Kind, message: Vec<u8>, due: Micros,
-    ) -> Option<ConnId> {
-        if !self.room(self.most) {
+        &mut self, address: SocketAddr, kind: ConnectionKind, message: Vec<u8>, deadline: Micros,
+    ) -> Option<ConnectionId> {
+        if !self.make_room(self.max_connections) {
             return None;
         }
-        let id = ConnId(self.next_conn);
-        self.next_conn += 2;
-        self.effects.push(Effect::Dial(id, to, self.dial_within));
-        let conn = self.add(id, kind);
-        conn.pending = Some(message);
-        conn.unwritten = true;
-        self.due_at(id, Some(due));
+        let id = ConnectionId(self.next_connection);
+        self.next_connection += 2;
+        self.effects.push(Effect::Dial(id, address, self.dial_timeout));
+        let connection = self.add_connection(id, kind);
+        connection.first_message = Some(message);
+        connection.write_pending = true;
+        self.set_deadline(id, Some(deadline));
         Some(id)
     }
 
-    /// Writes to a connection that is up.
-    pub fn write(&mut self, id: ConnId, bytes: Vec<u8>) {
-        if let Some(conn) = self.conns.get_mut(&id) {
-            conn.unwritten = true;
+    /// Writes to an established connection.
+    pub fn write(&mut self, id: ConnectionId, bytes: Vec<u8>) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.write_pending = true;
             self.effects.push(Effect::Write(id, bytes));
         }
     }
 
-    /// Forgets the first bytes that a connection holds.
-    pub fn consume(&mut self, id: ConnId, count: usize) {
-        if let Some(conn) = self.conns.get_mut(&id).filter(|_| count > 0) {
-            conn.buffer.consume(count);
+    /// Drops the first `count` bytes of a connection's buffer.
+    pub fn consume(&mut self, id: ConnectionId, count: usize) {
+        if let Some(connection) = self.connections.get_mut(&id).filter(|_| count > 0) {
+            connection.buffer.consume(count);
             self.effects.push(Effect::Consumed(id, count));
         }
     }
 
-    /// Sets when a connection will have stood as it does for too long.
-    pub fn due_at(&mut self, id: ConnId, due: Option<Micros>) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.due = due;
-        if let Some(at) = due.filter(|at| conn.looked.is_none_or(|looked| looked > *at)) {
-            conn.looked = Some(at);
-            self.timers.set(at, Timer::Conn(id));
+    /// Sets or clears a connection's deadline, after which it will have been in its present state for too
+    /// long. A timer that is already set for an earlier time is used again, so that a deadline that is often
+    /// moved sets few timers.
+    pub fn set_deadline(&mut self, id: ConnectionId, deadline: Option<Micros>) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.deadline = deadline;
+        if let Some(at) = deadline.filter(|at| connection.deadline_timer.is_none_or(|timer| timer > *at)) {
+            connection.deadline_timer = Some(at);
+            self.timers.set(at, Timer::Connection(id));
         }
     }
 
-    /// Whether the connection has stood as it does for too long; if not, looks again later.
-    pub fn is_due(&mut self, id: ConnId) -> bool {
-        let Some(conn) = self.conns.get_mut(&id) else { return false };
-        conn.looked = None;
-        let due = conn.due;
-        self.due_at(id, due.filter(|at| *at > self.now));
-        due.is_some_and(|at| at <= self.now)
+    /// Whether a connection's deadline has passed; if not, sets a timer for it.
+    pub fn is_deadline_passed(&mut self, id: ConnectionId) -> bool {
+        let Some(connection) = self.connections.get_mut(&id) else { return false };
+        connection.deadline_timer = None;
+        let deadline = connection.deadline;
+        self.set_deadline(id, deadline.filter(|at| *at > self.now));
+        deadline.is_some_and(|at| at <= self.now)
     }
 
-    /// Ends a connection from this side.
-    pub fn close(&mut self, id: ConnId, reason: Reason) -> Option<Conn> {
-        let conn = self.forget(id, reason)?;
+    /// Closes a connection from this side.
+    pub fn close(&mut self, id: ConnectionId, reason: CloseReason) -> Option<ConnectionState> {
+        let connection = self.remove_connection(id, reason)?;
         self.effects.push(Effect::Close(id));
-        Some(conn)
+        Some(connection)
     }
 
-    /// Forgets a connection that has ended.
-    pub fn forget(&mut self, id: ConnId, reason: Reason) -> Option<Conn> {
-        let conn = self.conns.remove(&id)?;
-        self.origin_over(id);
-        match &conn.kind {
-            Kind::Server { server, work: None, .. } => {
-                if let Some(place) = self.servers.get_mut(server) {
-                    place.idle.retain(|idle| *idle != id);
+    /// Removes a connection that has ended.
+    pub fn remove_connection(&mut self, id: ConnectionId, reason: CloseReason) -> Option<ConnectionState> {
+        let connection = self.connections.remove(&id)?;
+        self.forget_client_address(id);
+        match &connection.kind {
+            ConnectionKind::Server { server, call: None, .. } => {
+                if let Some(listed) = self.servers.get_mut(server) {
+                    listed.idle.retain(|idle| *idle != id);
                 }
             }
-            Kind::Watch(_) => self.watch = None,
-            Kind::Notices(_) => self.notices = None,
+            ConnectionKind::Watch(_) => self.watch = None,
+            ConnectionKind::EventStream(_) => self.event_stream = None,
             _ => {}
         }
-        self.log(format!("end conn={id} kind={} code={}", conn.kind.name(), reason.code()));
-        Some(conn)
+        self.log(format!("end conn={id} kind={} code={}", connection.kind.name(), reason.code()));
+        Some(connection)
     }
 }
--- a/crates/garnetdoor-gateway/src/state/gateway_state.rs
+++ b/crates/garnetdoor-gateway/src/state/gateway_state.rs
@@ -1,4 +1,5 @@
-//! All that a gateway keeps but the decisions' own memory: plain state, its tickets, and its figures.
+//! The gateway's whole state apart from the decisions' own: connections, servers, open requests, the
+//! platform's event stream, and the limits of the settings.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -6,321 +7,367 @@
 use garnetdoor::host::{Ending, GatewayId, Micros, Refusal, ServerId, Taken, TicketId, TripNo};
 use garnetdoor::names::Names;
 
-use super::connections::{Conn, Kind};
-use super::refusals::{Cause, Refusals, SUMMARY_AFTER};
-use super::request::{Place, Ticket, Trip};
-use super::sessions::Room;
+use super::connections::{ConnectionKind, ConnectionState};
+use super::refusals::{Cause, Refusals, SUMMARY_INTERVAL};
+use super::request::{Attempt, OpenRequest};
+use super::servers::ListedServer;
+use super::sessions::SessionTable;
 use super::timers::{Timer, Timers};
 use crate::config::Config;
-use crate::event::{ConnId, Effect, Reason};
+use crate::event::{CloseReason, ConnectionId, Effect};
 use crate::wire::client::Profiles;
-use crate::wire::discovery::Words;
-use crate::wire::http::Stream;
+use crate::wire::discovery::KnownNames;
+use crate::wire::http::ChunkedStream;
 use crate::wire::platform;
 
 pub(super) const MS: Micros = 1_000;
 pub(super) const SECOND: Micros = 1_000_000;
 
-// Here and beside it: properties of the protocol and its connections; no decision rests on them.
-/// The final answer is under way so long before the client's time is up, to be there in time.
-const AHEAD: Micros = 20 * MS;
-/// The platform's stream says something every second.
-const NOTICES_SILENT: Micros = 3_500 * MS;
-/// First wait before the stream is asked for again; doubles up to the second.
-const NOTICES_AGAIN: (Micros, Micros) = (100 * MS, SECOND);
-/// A client has so long to take an answer.
-const CLIENT_SLOW: Micros = 10 * SECOND;
-/// And so long for a whole message: its first one from its coming, another one from its first byte.
-pub(super) const CLIENT_ASKS: Micros = 2_500 * MS;
-/// A client that has been answered may rest so long. Some never ask again and never go.
-const CLIENT_STAYS: Micros = 2_200 * MS;
-/// How long a client may take to see an answer that ends its connection.
-const LINGER: Micros = SECOND;
-/// Descriptors that are no connections: standard streams, listener, peers, signals, `may`.
-const NO_CONNECTIONS: usize = 14;
-/// One in so many stays for dials given up, which end a little later.
-const DIALS_GIVEN_UP: usize = 32;
-
-/// What the decisions must still hear.
-pub enum Told {
-    Trip(TicketId, TripNo, Ending, Vec<Option<f64>>),
+// These constants, and those of the other files of this module, are properties of the protocol and its
+// connections; no decision depends on them.
+
+/// The final answer is sent so long before the client's deadline, to arrive in time.
+const ANSWER_LEAD_TIME: Micros = 20 * MS;
+/// The event stream has failed if it is silent for so long; the platform sends something every second.
+const EVENT_STREAM_TIMEOUT: Micros = 3_500 * MS;
+/// First wait before the event stream is asked for again; it doubles up to [`EVENT_STREAM_MAX_BACKOFF`].
+const EVENT_STREAM_MIN_BACKOFF: Micros = 100 * MS;
+const EVENT_STREAM_MAX_BACKOFF: Micros = SECOND;
+/// How long a client may take to read an answer.
+const CLIENT_READ_TIMEOUT: Micros = 10 * SECOND;
+/// How long a client may take for a whole message: the first one from when it connected, a further one from
+/// its first byte.
+pub(super) const CLIENT_MESSAGE_TIMEOUT: Micros = 2_500 * MS;
+/// How long a client may be idle after an answer. Some never send again and never close.
+const CLIENT_IDLE_TIMEOUT: Micros = 2_200 * MS;
+/// How long a client may take to notice an answer that ends its connection.
+const LINGER_TIMEOUT: Micros = SECOND;
+/// Descriptors other than connections: standard streams, listener, peers' socket, signals, `may`.
+const NON_CONNECTION_DESCRIPTORS: usize = 14;
+/// One in so many descriptors is left for abandoned dials, which end a little later.
+const ABANDONED_DIALS_PART: usize = 32;
+/// One in so many connections is left for servers and services; clients may hold the others.
+const NON_CLIENT_PART: usize = 4;
+/// One in so many descriptors may be held by idle clients: half of the third that ordinary clients may hold.
+const IDLE_CLIENTS_PART: usize = 6;
+const DEFAULT_DIAL_TIMEOUT: Micros = 250 * MS;
+/// How long a server keeps an idle connection, by default.
+const DEFAULT_SERVER_IDLE_CLOSE: Micros = 10 * SECOND;
+const DEFAULT_VOTE_TIMEOUT: Micros = 2 * SECOND;
+
+/// Something that the decisions have not been told yet.
+pub enum Outcome {
+    /// An attempt has ended; with the load that its server reported.
+    Attempt(TicketId, TripNo, Ending, Vec<Option<f64>>),
+    /// A probe has ended after this time; with the load that its server reported.
     Probe(ServerId, Ending, Micros, Vec<Option<f64>>),
     Vote(Taken),
     ListFailed,
 }
 
-/// The state, as the reducer and the decisions' host share it.
-pub struct Desk {
+/// The state that the reducer and the decisions' host share.
+pub struct GatewayState {
     pub now: Micros,
     pub effects: Vec<Effect>,
-    pub told: VecDeque<Told>,
+    pub outcomes: VecDeque<Outcome>,
     pub timers: Timers,
-    pub conns: BTreeMap<ConnId, Conn>,
-    pub tickets: BTreeMap<TicketId, Ticket>,
-    pub servers: BTreeMap<ServerId, Place>,
+    pub connections: BTreeMap<ConnectionId, ConnectionState>,
+    pub requests: BTreeMap<TicketId, OpenRequest>,
+    pub servers: BTreeMap<ServerId, ListedServer>,
     pub profiles: Profiles,
-    pub words: Words,
+    pub known_names: KnownNames,
+    /// The fields of servers' load reports, in the order that the decisions take them in.
     pub load_fields: Vec<String>,
-    /// Sessions, where the operator file allows any.
-    pub room: Option<Room>,
+    /// `None` until the operator file allows sessions.
+    pub session_table: Option<SessionTable>,
     pub stopping: bool,
     pub listening: bool,
-    pub max_open: usize,
-    pub(super) names: Names,
+    pub max_open_requests: usize,
+    pub(super) server_names: Names,
     pub(super) refusals: Refusals,
-    pub(super) version: u64,
-    /// The decisions want the list followed.
-    pub(super) follows: bool,
-    pub(super) watch: Option<ConnId>,
-    pub(super) notices: Option<ConnId>,
-    pub(super) notices_again: Micros,
-    pub(super) next_conn: u64,
-    pub(super) next_ticket: u64,
-    pub(super) chance: oorandom::Rand64,
-    /// Descriptors for connections, those that are set aside for sessions included, and without them.
-    pub(super) most_of_all: usize,
-    pub(super) most: usize,
-    pub(super) clients_most: usize,
-    /// Half of the third that usual clients may hold.
-    pub(super) resting_most: usize,
-    pub(super) tries: usize,
-    pub(super) dial_within: Micros,
-    pub(super) idle_for: Micros,
-    pub(super) vote_wait: Micros,
+    /// The version of the list that was applied last.
+    pub(super) list_version: u64,
+    /// Whether the decisions want the changes of the list.
+    pub(super) follows_list: bool,
+    /// The connection with the changes of the list.
+    pub(super) watch: Option<ConnectionId>,
+    /// The connection with the platform's events.
+    pub(super) event_stream: Option<ConnectionId>,
+    pub(super) event_stream_backoff: Micros,
+    pub(super) next_connection: u64,
+    pub(super) next_request: u64,
+    pub(super) random: oorandom::Rand64,
+    /// How many connections there may be, with those reserved for sessions.
+    pub(super) max_connections_and_sessions: usize,
+    /// How many connections there may be, without those reserved for sessions.
+    pub(super) max_connections: usize,
+    pub(super) max_clients: usize,
+    pub(super) max_idle_clients: usize,
+    /// How many attempts a request may have.
+    pub(super) max_attempts: usize,
+    pub(super) dial_timeout: Micros,
+    /// How long a server's connection is kept idle.
+    pub(super) idle_timeout: Micros,
+    pub(super) vote_timeout: Micros,
+    /// The list service's address.
     pub(super) discovery: SocketAddr,
+    /// The platform's address.
     pub(super) platform: SocketAddr,
+    /// The addresses of the other gateways, by `GatewayId`.
     pub(super) peers: Vec<SocketAddr>,
-    pub(super) peers_all: Option<SocketAddr>,
+    /// The address that reaches all other gateways.
+    pub(super) peer_broadcast: Option<SocketAddr>,
 }
 
-/// How many of the connections may be clients'. A quarter of the descriptors stays for servers and services.
-fn clients_most(most: usize) -> usize {
-    most - most / 4
+/// How many of the connections may be clients'.
+fn max_clients(max_connections: usize) -> usize {
+    max_connections - max_connections / NON_CLIENT_PART
 }
 
-impl Desk {
+impl GatewayState {
     pub fn new(now: Micros, config: &Config) -> Self {
         let settings = &config.settings;
-        let span = |name: &str, otherwise| settings.micros(name).unwrap_or(otherwise);
-        let count = |name: &str| settings.number(name).map_or(usize::MAX, |number| number as usize);
-        let most = config.sockets.saturating_sub(NO_CONNECTIONS + config.sockets / DIALS_GIVEN_UP);
-        Desk {
+        let duration = |name: &str, default| settings.micros(name).unwrap_or(default);
+        let limit = |name: &str| settings.number(name).map_or(usize::MAX, |number| number as usize);
+        let max_connections = config
+            .max_descriptors
+            .saturating_sub(NON_CONNECTION_DESCRIPTORS + config.max_descriptors / ABANDONED_DIALS_PART);
+        GatewayState {
             now,
             effects: Vec::new(),
-            told: VecDeque::new(),
+            outcomes: VecDeque::new(),
             timers: Timers::default(),
-            conns: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            requests: BTreeMap::new(),
             servers: BTreeMap::new(),
             profiles: Profiles::new(settings),
-            words: Words::new(settings),
+            known_names: KnownNames::new(settings),
             load_fields: settings.items("report.fields").into_iter().map(str::to_owned).collect(),
-            room: None,
+            session_table: None,
             stopping: false,
             listening: true,
-            max_open: count("policy_limits.max_open"),
-            names: Names::default(),
+            max_open_requests: limit("policy_limits.max_open"),
+            server_names: Names::default(),
             refusals: Refusals::default(),
-            version: 0,
-            follows: false,
+            list_version: 0,
+            follows_list: false,
             watch: None,
-            notices: None,
-            notices_again: NOTICES_AGAIN.0,
-            next_conn: 1,
-            next_ticket: 0,
-            chance: oorandom::Rand64::new(u128::from(config.seed) << 1 | 1),
-            most_of_all: most,
-            most,
-            clients_most: clients_most(most),
-            resting_most: config.sockets / 6,
-            tries: count("policy_limits.try_limit"),
-            dial_within: span("policy_limits.dial_timeout", 250 * MS),
-            // Well before the server's machine closes it: a trip that crosses that closing may have run.
-            idle_for: span("policy_limits.idle_close", 10 * SECOND) / 2,
-            vote_wait: span("domain.vote_wait", 2 * SECOND),
+            event_stream: None,
+            event_stream_backoff: EVENT_STREAM_MIN_BACKOFF,
+            next_connection: 1,
+            next_request: 0,
+            random: oorandom::Rand64::new(u128::from(config.seed) << 1 | 1),
+            max_connections_and_sessions: max_connections,
+            max_connections,
+            max_clients: max_clients(max_connections),
+            max_idle_clients: config.max_descriptors / IDLE_CLIENTS_PART,
+            max_attempts: limit("policy_limits.try_limit"),
+            dial_timeout: duration("policy_limits.dial_timeout", DEFAULT_DIAL_TIMEOUT),
+            // Half of the time after which the server closes it: an attempt that crosses that close may have
+            // been executed.
+            idle_timeout: duration("policy_limits.idle_close", DEFAULT_SERVER_IDLE_CLOSE) / 2,
+            vote_timeout: duration("domain.vote_wait", DEFAULT_VOTE_TIMEOUT),
             discovery: config.discovery,
             platform: config.platform,
             peers: config.peers.clone(),
-            peers_all: config.peers_all,
+            peer_broadcast: config.peer_broadcast,
         }
     }
 
-    /// Sets descriptors aside for what is no plain connection.
-    pub(super) fn share_out(&mut self, reserved: usize) {
-        self.most = self.most_of_all - reserved;
-        self.clients_most = clients_most(self.most);
+    /// Reserves descriptors for sessions; the others remain for ordinary connections.
+    pub(super) fn reserve_descriptors(&mut self, reserved: usize) {
+        self.max_connections = self.max_connections_and_sessions - reserved;
+        self.max_clients = max_clients(self.max_connections);
     }
 
-    /// Asks for a log line.
+    /// Writes a log line.
     pub fn log(&mut self, text: String) {
         self.effects.push(Effect::Log(text));
     }
 
-    /// Tells in the log why the decisions refuse a request.
-    pub(super) fn refused(&mut self, why: Refusal) {
+    /// Counts a request that the decisions refuse.
+    pub(super) fn count_decided_refusal(&mut self, why: Refusal) {
         let server = match why {
-            Refusal::TooLate { server, .. } => self.servers.get(&server).map(|place| place.process.address),
+            Refusal::TooLate { server, .. } => self.servers.get(&server).map(|listed| listed.process.address),
             _ => None,
         };
-        self.refused_for(Cause::Decided(why, server));
+        self.count_refusal(Cause::Decided(why, server));
     }
 
-    /// Tells in the log why a request is refused.
-    pub(super) fn refused_for(&mut self, cause: Cause) {
+    /// Counts a refused request, and logs the first one of its cause since the last summary.
+    pub(super) fn count_refusal(&mut self, cause: Cause) {
         if self.refusals.is_empty() {
-            self.timers.set(self.now + SUMMARY_AFTER, Timer::Refusals);
+            self.timers.set(self.now + SUMMARY_INTERVAL, Timer::RefusalSummary);
         }
         if let Some(line) = self.refusals.add(&cause) {
             self.log(line);
         }
     }
 
-    /// Tells in the log how many more requests were refused since the last summary.
-    pub(super) fn tell_refusals(&mut self) {
-        self.refusals.summary().into_iter().for_each(|line| self.log(line));
+    /// Logs how many more requests were refused since the last summary.
+    pub(super) fn log_refusal_summary(&mut self) {
+        self.refusals.take_summary().into_iter().for_each(|line| self.log(line));
     }
 
-    // ---- clients and tickets ----
+    // ---- clients and requests ----
 
-    /// Takes in a ticket under a number of its own.
-    pub fn new_ticket(&mut self, ticket: Ticket) -> TicketId {
-        let id = TicketId(self.next_ticket);
-        self.next_ticket += 1;
-        self.tickets.insert(id, ticket);
+    /// Adds a request under a new number.
+    pub fn add_request(&mut self, request: OpenRequest) -> TicketId {
+        let id = TicketId(self.next_request);
+        self.next_request += 1;
+        self.requests.insert(id, request);
         id
     }
 
-    /// The client's time, less what the answer needs to get there.
-    pub fn until(&self, left: Micros) -> Micros {
-        self.now + left - AHEAD
+    /// When a client with so much time left must be answered, so that the answer arrives in time.
+    pub fn answer_deadline(&self, time_left: Micros) -> Micros {
+        self.now + time_left - ANSWER_LEAD_TIME
     }
 
-    /// Whether the next answer on a connection is its last; so it is for a client that has sent more without
-    /// waiting for it. Guards against hundreds of tickets at once on one connection, which would all run.
-    pub fn is_last(&self, id: ConnId) -> bool {
-        let last =
-            |conn: &Conn| !conn.buffer.is_empty() || matches!(conn.kind, Kind::Client { last: true, .. });
-        self.stopping || self.conns.get(&id).is_some_and(last)
+    /// Whether the next answer on a connection is its last. It is also the last if the client has sent more
+    /// without waiting for the answer; otherwise one connection could bring hundreds of requests at once,
+    /// which would all be executed.
+    pub fn is_last_answer(&self, id: ConnectionId) -> bool {
+        let is_last = |connection: &ConnectionState| {
+            !connection.buffer.is_empty()
+                || matches!(connection.kind, ConnectionKind::Client { last: true, .. })
+        };
+        self.stopping || self.connections.get(&id).is_some_and(is_last)
     }
 
-    /// Whether a ticket of this id is still open here, or one of its trips out.
+    /// Whether a request with this id is open, or an attempt of it is still running.
     pub fn is_open(&self, id: &str) -> bool {
-        self.tickets.values().any(|ticket| ticket.request.id == id)
+        self.requests.values().any(|request| request.request.id == id)
     }
 
-    /// Writes an answer to a client.
-    pub fn answer(&mut self, id: ConnId, bytes: Vec<u8>, ends: bool) {
+    /// Writes an answer to a client; `last` ends the connection after it.
+    pub fn answer(&mut self, id: ConnectionId, bytes: Vec<u8>, last: bool) {
         self.write(id, bytes);
-        self.due_at(id, Some(self.now + if ends { LINGER } else { CLIENT_SLOW }));
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        if let Kind::Client { ticket, last, answered, begun, .. } = &mut conn.kind {
-            (*ticket, *last, *answered, *begun) = (None, ends, true, false);
+        self.set_deadline(id, Some(self.now + if last { LINGER_TIMEOUT } else { CLIENT_READ_TIMEOUT }));
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if let ConnectionKind::Client { request, last: is_last, answered, message_started, .. } =
+            &mut connection.kind
+        {
+            (*request, *is_last, *answered, *message_started) = (None, last, true, false);
         }
-        if ends {
-            self.effects.push(Effect::Finish(id));
+        if last {
+            self.effects.push(Effect::ShutdownWrite(id));
         }
     }
 
-    /// A client's connection that has had its last message stays for so long.
-    pub(super) fn lingers(&mut self, id: ConnId) {
-        self.due_at(id, Some(self.now + LINGER));
+    /// Limits how long a client's connection remains after its last message.
+    pub(super) fn set_linger_deadline(&mut self, id: ConnectionId) {
+        self.set_deadline(id, Some(self.now + LINGER_TIMEOUT));
     }
 
-    /// How long a client may go on with nothing whole to show. Guards against connections that say nothing,
-    /// or a byte now and then: the time is not renewed by what comes. Harm: a client whose ticket takes
-    /// longer to come is cut off.
-    pub fn client_waits(&mut self, id: ConnId) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let empty = conn.buffer.is_empty();
-        // The time of a first message runs from its client's coming, and is set then.
-        let Kind::Client { answered: true, begun, .. } = &mut conn.kind else { return };
-        let began = std::mem::replace(begun, !empty);
-        if empty {
-            self.due_at(id, Some(self.now + CLIENT_STAYS));
-        } else if !began {
-            self.due_at(id, Some(self.now + CLIENT_ASKS));
+    /// Limits how long a client may take for its next whole message. Bytes that arrive do not extend this
+    /// time, so that clients which send nothing, or a byte now and then, do not hold a connection. The
+    /// drawback: a client whose request takes longer to arrive is cut off.
+    pub fn await_client_message(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let is_empty = connection.buffer.is_empty();
+        // The deadline of the first message runs from when the client connected, and was set then.
+        let ConnectionKind::Client { answered: true, message_started, .. } = &mut connection.kind else {
+            return;
+        };
+        let had_started = std::mem::replace(message_started, !is_empty);
+        if is_empty {
+            self.set_deadline(id, Some(self.now + CLIENT_IDLE_TIMEOUT));
+        } else if !had_started {
+            self.set_deadline(id, Some(self.now + CLIENT_MESSAGE_TIMEOUT));
         }
     }
 
-    /// Gives a ticket its final answer, if it has none and its client is there.
-    pub fn finish(&mut self, id: TicketId, bytes: impl FnOnce(bool) -> Vec<u8>) {
-        let client = self.tickets.get_mut(&id).and_then(|ticket| ticket.client.take());
+    /// Gives a request its final answer, unless it has one or its client has left. `answer` gets whether it
+    /// is the last one on the connection.
+    pub fn answer_request(&mut self, id: TicketId, answer: impl FnOnce(bool) -> Vec<u8>) {
+        let client = self.requests.get_mut(&id).and_then(|request| request.client.take());
         if let Some(client) = client {
-            let last = self.is_last(client);
-            self.answer(client, bytes(last), last);
+            let last = self.is_last_answer(client);
+            self.answer(client, answer(last), last);
         }
     }
 
-    /// Forgets a ticket that is over, has no trip out and none that the decisions must still hear of.
-    pub fn tidy(&mut self, id: TicketId) {
-        let over = |ticket: &Ticket| ticket.client.is_none() && ticket.trips.iter().all(|t| t.ended);
-        let untold = self.told.iter().any(|told| matches!(told, Told::Trip(ticket, ..) if *ticket == id));
-        if !untold && self.tickets.get(&id).is_some_and(over) {
-            self.tickets.remove(&id);
-            self.session_ticket_over(id);
+    /// Removes a request if it is answered, none of its attempts is running, and the decisions have been told
+    /// of all of them.
+    pub fn remove_if_finished(&mut self, id: TicketId) {
+        let is_finished = |request: &OpenRequest| {
+            request.client.is_none() && request.attempts.iter().all(|attempt| attempt.ended)
+        };
+        let is_unreported = self
+            .outcomes
+            .iter()
+            .any(|outcome| matches!(outcome, Outcome::Attempt(request, ..) if *request == id));
+        if !is_unreported && self.requests.get(&id).is_some_and(is_finished) {
+            self.requests.remove(&id);
+            self.session_request_finished(id);
         }
     }
 
-    /// A trip that is still out.
-    pub(super) fn out(&mut self, id: TicketId, trip: TripNo) -> Option<&mut Trip> {
-        let trip = self.tickets.get_mut(&id)?.trips.get_mut(trip.0 as usize)?;
-        (!trip.ended).then_some(trip)
+    /// An attempt that has not ended yet.
+    pub(super) fn running_attempt(&mut self, id: TicketId, attempt: TripNo) -> Option<&mut Attempt> {
+        let attempt = self.requests.get_mut(&id)?.attempts.get_mut(attempt.0 as usize)?;
+        (!attempt.ended).then_some(attempt)
     }
 
-    /// Ends a trip that is out: the decisions hear of it, and its connection carries nothing else.
-    pub fn trip_over(&mut self, id: TicketId, trip: TripNo, ending: Ending, load: Vec<Option<f64>>) {
-        let Some(found) = self.out(id, trip) else { return };
-        found.ended = true;
-        if let Some(due) = found.due.take() {
-            self.timers.unset(due);
+    /// Ends a running attempt; the decisions will be told.
+    pub fn end_attempt(&mut self, id: TicketId, attempt: TripNo, ending: Ending, load: Vec<Option<f64>>) {
+        let Some(running) = self.running_attempt(id, attempt) else { return };
+        running.ended = true;
+        if let Some(timeout) = running.timeout.take() {
+            self.timers.cancel(timeout);
         }
-        self.told.push_back(Told::Trip(id, trip, ending, load));
+        self.outcomes.push_back(Outcome::Attempt(id, attempt, ending, load));
     }
 
-    /// Gives a trip up: its connection is closed.
-    pub fn give_up(&mut self, id: TicketId, trip: TripNo, ending: Ending, reason: Reason) {
-        let Some(on) = self.out(id, trip).map(|trip| trip.on) else { return };
-        if let Some(on) = on {
-            self.close(on, reason);
+    /// Abandons a running attempt: closes its connection and ends it.
+    pub fn abandon_attempt(&mut self, id: TicketId, attempt: TripNo, ending: Ending, reason: CloseReason) {
+        let Some(connection) = self.running_attempt(id, attempt).map(|attempt| attempt.connection) else {
+            return;
+        };
+        if let Some(connection) = connection {
+            self.close(connection, reason);
         }
-        self.trip_over(id, trip, ending, Vec::new());
+        self.end_attempt(id, attempt, ending, Vec::new());
     }
 
     // ---- the platform ----
 
-    /// When the platform's stream counts as broken if nothing more comes.
-    pub fn notices_due(&self) -> Micros {
-        self.now + NOTICES_SILENT
+    /// When the platform's event stream counts as failed if nothing more arrives.
+    pub fn event_stream_deadline(&self) -> Micros {
+        self.now + EVENT_STREAM_TIMEOUT
     }
 
-    /// The stream works: the next break is answered soon.
-    pub fn notices_work(&mut self) {
-        self.notices_again = NOTICES_AGAIN.0;
+    /// The event stream works: after its next failure it is asked for again soon.
+    pub fn reset_event_stream_backoff(&mut self) {
+        self.event_stream_backoff = EVENT_STREAM_MIN_BACKOFF;
     }
 
-    /// Asks for the platform's stream of events, unless there is one.
-    pub fn ask_notices(&mut self) {
-        if self.notices.is_none() {
-            let message = platform::notices(self.platform);
-            let due = self.notices_due();
-            self.notices = self.dial(self.platform, Kind::Notices(Stream::default()), message, due);
-            if self.notices.is_none() {
-                self.ask_notices_later();
+    /// Asks for the platform's event stream, unless there is one.
+    pub fn open_event_stream(&mut self) {
+        if self.event_stream.is_none() {
+            let message = platform::event_stream_request(self.platform);
+            let deadline = self.event_stream_deadline();
+            let kind = ConnectionKind::EventStream(ChunkedStream::default());
+            self.event_stream = self.dial(self.platform, kind, message, deadline);
+            if self.event_stream.is_none() {
+                self.retry_event_stream_later();
             }
         }
     }
 
-    /// Asks again after a while that differs between gateways, so that they don't all come back at once.
-    pub fn ask_notices_later(&mut self) {
-        let wait = self.notices_again as f64 * (0.5 + self.chance.rand_float());
-        self.notices_again = (2 * self.notices_again).min(NOTICES_AGAIN.1);
-        self.timers.set(self.now + wait as Micros, Timer::Notices);
+    /// Asks for the event stream again after a wait with random jitter, so that not all gateways reconnect at
+    /// once.
+    pub fn retry_event_stream_later(&mut self) {
+        let wait = self.event_stream_backoff as f64 * (0.5 + self.random.rand_float());
+        self.event_stream_backoff = (2 * self.event_stream_backoff).min(EVENT_STREAM_MAX_BACKOFF);
+        self.timers.set(self.now + wait as Micros, Timer::EventStream);
     }
 
     // ---- peers ----
 
     /// The gateway that sends from an address.
-    pub fn peer(&self, address: SocketAddr) -> Option<GatewayId> {
+    pub fn peer_at(&self, address: SocketAddr) -> Option<GatewayId> {
         self.peers.iter().position(|peer| *peer == address).map(GatewayId)
     }
 }
--- a/crates/garnetdoor-gateway/src/state/host.rs
+++ b/crates/garnetdoor-gateway/src/state/host.rs
@@ -1,5 +1,5 @@
-//! The desk as the decisions' host: what they ask for is done to it at once, and what must happen outside
-//! becomes an effect.
+//! The decisions' host: what they ask for is applied to the gateway's state at once, and what must happen
+//! outside becomes an effect.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -8,71 +8,83 @@
     BuildNo, Ending, GatewayId, Host, Micros, Refusal, ServerId, StageNo, Taken, TicketId, TripNo, Vote, Wake,
 };
 
-use super::connections::{Kind, Work};
-use super::gateway_state::{Desk, Told};
-use super::request::Trip;
+use super::connections::{ConnectionKind, ServerCall};
+use super::gateway_state::{GatewayState, Outcome};
+use super::request::Attempt;
 use super::timers::Timer;
-use crate::event::{Effect, Reason};
-use crate::wire::http::Stream;
+use crate::event::{CloseReason, Effect};
+use crate::lifecycle::listen::MAX_DATAGRAM_BYTES;
+use crate::wire::http::ChunkedStream;
 use crate::wire::{client, discovery, instance, platform};
 
-/// Calls to the platform at one time, of the 32 connections that it holds.
-const CALLS_MOST: usize = 16;
+/// Vote calls that may be open at one time, of the 32 connections that the platform accepts.
+const MAX_VOTE_CALLS: usize = 16;
 
-/// The desk as the decisions hold it.
+/// The gateway's state, shared between the reducer and the decisions.
 #[derive(Clone)]
-pub struct Handle(pub Rc<RefCell<Desk>>);
+pub struct SharedState(pub Rc<RefCell<GatewayState>>);
 
-impl Host for Handle {
+impl Host for SharedState {
     fn now(&self) -> Micros {
         self.0.borrow().now
     }
 
     fn send_trip(&mut self, id: TicketId, server: ServerId, until: Option<Micros>) {
-        let desk = &mut *self.0.borrow_mut();
-        let now = desk.now;
-        let Some(ticket) = desk.tickets.get_mut(&id) else { return };
-        let trip = TripNo(ticket.trips.len() as u32);
-        let until = until.unwrap_or(ticket.until).min(ticket.until);
-        let allowed = ticket.client.is_some() && now < until && ticket.trips.len() < desk.tries;
-        ticket.trips.push(Trip { server, sent: now, on: None, due: None, ended: false });
-        let address = desk.servers.get(&server).map(|place| place.process.address).filter(|_| allowed);
-        let message = address.map(|address| instance::trip(&ticket.request, address, until - now));
+        let state = &mut *self.0.borrow_mut();
+        let now = state.now;
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        let attempt = TripNo(request.attempts.len() as u32);
+        let deadline = until.unwrap_or(request.deadline).min(request.deadline);
+        let is_allowed =
+            request.client.is_some() && now < deadline && request.attempts.len() < state.max_attempts;
+        request.attempts.push(Attempt {
+            server,
+            sent_at: now,
+            connection: None,
+            timeout: None,
+            ended: false,
+        });
+        let address = state.servers.get(&server).map(|listed| listed.process.address).filter(|_| is_allowed);
+        let message =
+            address.map(|address| instance::attempt_request(&request.request, address, deadline - now));
         let Some(message) = message else {
-            return desk.trip_over(id, trip, Ending::NeverSent, Vec::new());
+            return state.end_attempt(id, attempt, Ending::NeverSent, Vec::new());
         };
-        desk.session_sent(id, server);
-        desk.carry(server, Work::Trip(id, trip), message, until);
-        if desk.out(id, trip).is_some() {
-            let due = Some(desk.timers.set(until, Timer::Trip(id, trip)));
-            desk.out(id, trip).into_iter().for_each(|trip| trip.due = due);
+        state.session_attempt_sent(id, server);
+        state.send_to_server(server, ServerCall::Attempt(id, attempt), message, deadline);
+        if state.running_attempt(id, attempt).is_some() {
+            let timeout = Some(state.timers.set(deadline, Timer::Attempt(id, attempt)));
+            state.running_attempt(id, attempt).into_iter().for_each(|attempt| attempt.timeout = timeout);
         }
     }
 
     fn has_room(&self, ticket: TicketId, server: ServerId, build: BuildNo) -> bool {
-        self.0.borrow().session_has_room(ticket, server, build)
+        self.0.borrow().has_room_for_session(ticket, server, build)
     }
 
     fn stop_trip(&mut self, id: TicketId, trip: TripNo) {
-        self.0.borrow_mut().give_up(id, trip, Ending::Stopped, Reason::Stopped);
+        self.0.borrow_mut().abandon_attempt(id, trip, Ending::Stopped, CloseReason::Stopped);
     }
 
     fn turn_back(&mut self, id: TicketId, come_back_in: Option<Micros>) {
-        self.0.borrow_mut().finish(id, |last| client::turned_back(come_back_in, last));
+        self.0.borrow_mut().answer_request(id, |last| client::rejected(come_back_in, last));
     }
 
     fn forfeit(&mut self, id: TicketId) {
-        self.0.borrow_mut().finish(id, client::forfeited);
+        self.0.borrow_mut().answer_request(id, client::failed);
     }
 
     fn vote(&mut self, build: BuildNo, stage: StageNo, vote: Vote) {
-        let desk = &mut *self.0.borrow_mut();
-        let calls = desk.conns.values().filter(|conn| matches!(conn.kind, Kind::Vote)).count();
-        let message = platform::vote(desk.platform, build, stage, vote);
-        let due = desk.now + desk.vote_wait;
-        desk.log(format!("vote build={} stage={} {vote:?}", build.0, stage.0));
-        if calls >= CALLS_MOST || desk.dial(desk.platform, Kind::Vote, message, due).is_none() {
-            desk.told.push_back(Told::Vote(Taken::Error));
+        let state = &mut *self.0.borrow_mut();
+        let is_vote = |kind: &ConnectionKind| matches!(kind, ConnectionKind::Vote);
+        let calls = state.connections.values().filter(|connection| is_vote(&connection.kind)).count();
+        let message = platform::vote_request(state.platform, build, stage, vote);
+        let deadline = state.now + state.vote_timeout;
+        state.log(format!("vote build={} stage={} {vote:?}", build.0, stage.0));
+        if calls >= MAX_VOTE_CALLS
+            || state.dial(state.platform, ConnectionKind::Vote, message, deadline).is_none()
+        {
+            state.outcomes.push_back(Outcome::Vote(Taken::Error));
         }
     }
 
@@ -81,57 +93,65 @@
     }
 
     fn probe(&mut self, server: ServerId) {
-        let desk = &mut *self.0.borrow_mut();
-        let (now, address) = (desk.now, desk.servers.get(&server).map(|place| place.process.address));
-        let due = now + desk.dial_within;
+        let state = &mut *self.0.borrow_mut();
+        let now = state.now;
+        let address = state.servers.get(&server).map(|listed| listed.process.address);
+        let deadline = now + state.dial_timeout;
         match address {
-            Some(at) => desk.carry(server, Work::Probe(now), instance::probe(at), due),
-            None => desk.told.push_back(Told::Probe(server, Ending::NeverSent, 0, Vec::new())),
+            Some(address) => {
+                let message = instance::probe_request(address);
+                state.send_to_server(server, ServerCall::Probe(now), message, deadline);
+            }
+            None => {
+                state.outcomes.push_back(Outcome::Probe(server, Ending::NeverSent, 0, Vec::new()));
+            }
         }
     }
 
     fn tell_peers(&mut self, to: Option<GatewayId>, bytes: &[u8]) {
-        let desk = &mut *self.0.borrow_mut();
+        let state = &mut *self.0.borrow_mut();
         let address = match to {
-            Some(peer) => desk.peers.get(peer.0).copied(),
-            None => desk.peers_all,
+            Some(peer) => state.peers.get(peer.0).copied(),
+            None => state.peer_broadcast,
         };
-        if let Some(address) = address.filter(|_| bytes.len() <= 256) {
-            desk.effects.push(Effect::Datagram(address, bytes.to_vec()));
+        if let Some(address) = address.filter(|_| bytes.len() <= MAX_DATAGRAM_BYTES) {
+            state.effects.push(Effect::Datagram(address, bytes.to_vec()));
         }
     }
 
     fn ask_list(&mut self) {
-        let desk = &mut *self.0.borrow_mut();
-        let due = desk.list_due();
-        if desk.dial(desk.discovery, Kind::List, discovery::whole(desk.discovery), due).is_none() {
-            desk.told.push_back(Told::ListFailed);
+        let state = &mut *self.0.borrow_mut();
+        let message = discovery::list_request(state.discovery);
+        let deadline = state.list_deadline();
+        if state.dial(state.discovery, ConnectionKind::List, message, deadline).is_none() {
+            state.outcomes.push_back(Outcome::ListFailed);
         }
     }
 
     fn follow_list(&mut self, on: bool) {
-        let desk = &mut *self.0.borrow_mut();
-        desk.follows = on;
-        match (on, desk.watch) {
+        let state = &mut *self.0.borrow_mut();
+        state.follows_list = on;
+        match (on, state.watch) {
             (true, None) => {
-                let message = discovery::watch(desk.discovery, desk.version);
-                let due = desk.list_due();
-                desk.watch = desk.dial(desk.discovery, Kind::Watch(Stream::default()), message, due);
-                if desk.watch.is_none() {
-                    desk.told.push_back(Told::ListFailed);
+                let message = discovery::watch_request(state.discovery, state.list_version);
+                let deadline = state.list_deadline();
+                let kind = ConnectionKind::Watch(ChunkedStream::default());
+                state.watch = state.dial(state.discovery, kind, message, deadline);
+                if state.watch.is_none() {
+                    state.outcomes.push_back(Outcome::ListFailed);
                 }
             }
-            (false, Some(watch)) => drop(desk.close(watch, Reason::Asked)),
+            (false, Some(watch)) => drop(state.close(watch, CloseReason::Asked)),
             _ => {}
         }
     }
 
     fn close_idle(&mut self, server: ServerId) {
-        self.0.borrow_mut().close_all_idle(server, Reason::Asked);
+        self.0.borrow_mut().close_idle_connections(server, CloseReason::Asked);
     }
 
     fn refused(&mut self, _: TicketId, why: Refusal) {
-        self.0.borrow_mut().refused(why);
+        self.0.borrow_mut().count_decided_refusal(why);
     }
 
     fn note(&mut self, text: &str) {
--- a/crates/garnetdoor-gateway/src/state/mod.rs
+++ b/crates/garnetdoor-gateway/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What is kept: connections, idle ones by server, tickets, timers, and the reducer, the only one to change
-//! any of it.
+//! The gateway's state: connections, servers, open requests, sessions and timers, and the reducer, which
+//! alone changes them.
 
 pub mod connections;
 pub mod gateway_state;
--- a/crates/garnetdoor-gateway/src/state/reducer.rs
+++ b/crates/garnetdoor-gateway/src/state/reducer.rs
@@ -1,639 +1,702 @@
-//! The one place where anything changes: [`Reducer::reduce`] takes what has happened, lets the decisions act,
-//! and returns what is to be done outside. It reads no clock and touches no socket.
+//! The only place where the gateway's state changes: [`Reducer::reduce`] takes an event, lets the decisions
+//! act on it, and returns the effects that are to be carried out outside. It reads no clock and uses no
+//! socket.
 
 use std::cell::{RefCell, RefMut};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use garnetdoor::balance::Balance;
-use garnetdoor::host::{Condition, Ending, Host, Micros, News, Taken};
+use garnetdoor::host::{Condition, Ending, Host, Micros, News, ServerId, Taken};
 use garnetdoor_operator::Operator;
 
-use super::connections::{Conn, Kind, Work};
-use super::gateway_state::{Desk, Told};
-use super::host::Handle;
+use super::connections::{ConnectionKind, ConnectionState, ServerCall};
+use super::gateway_state::{GatewayState, MS, Outcome};
+use super::host::SharedState;
 use super::refusals::Cause;
-use super::request::{Place, Ticket};
-use super::sessions::TurnedBack;
+use super::request::OpenRequest;
+use super::servers::ListedServer;
+use super::sessions::UpgradeRejected;
 use super::timers::Timer;
 use crate::config::Config;
-use crate::event::{ConnId, Effect, Event, Reason};
-use crate::wire::client::{self, Asked};
+use crate::event::{CloseReason, ConnectionId, Effect, Event};
+use crate::wire::client::{self, ClientMessage};
 use crate::wire::discovery::{self, List};
-use crate::wire::http::{self, Fault, HELD_MOST, Message, StreamEnd};
+use crate::wire::http::{self, Fault, MAX_UNREAD_BYTES, Message, StreamEnd};
 use crate::wire::instance;
-use crate::wire::platform::{self, Notice};
-
-/// How long new connections are taken after the word to stop: a front may still deal some out.
-const STILL_LISTENS: Micros = 500_000;
-/// The rest of an answer of which a part has come: servers write it at once.
-const ANSWER_SLOW: Micros = 250_000;
-/// Held tickets are answered by then at the latest, since SIGKILL follows 3.7 s after the word to stop at the
-/// soonest, however long clients wait; and what is left to do then may take so long.
-const ANSWERS_WITHIN: Micros = 3_500_000;
-const STOPS_WITHIN: Micros = 3_600_000;
-
-impl From<Fault> for Reason {
-    fn from(fault: Fault) -> Reason {
-        if fault == Fault::Malformed { Reason::Malformed } else { Reason::TooLarge }
+use crate::wire::platform::{self, StreamEvent};
+
+/// How long new connections are accepted after the signal to stop, since a load balancer in front may still
+/// assign some.
+const ACCEPT_AFTER_STOP: Micros = 500 * MS;
+/// How long a server may take for the rest of an answer of which a part has arrived; servers write an answer
+/// at once.
+const ANSWER_REST_TIMEOUT: Micros = 250 * MS;
+/// All open requests are answered so long after the signal to stop, however long their clients would wait:
+/// SIGKILL follows 3.7 s after the signal at the earliest.
+const ANSWER_ALL_AFTER_STOP: Micros = 3_500 * MS;
+/// The process exits so long after the signal to stop, even if something is left to do.
+const EXIT_AFTER_STOP: Micros = 3_600 * MS;
+
+impl From<Fault> for CloseReason {
+    fn from(fault: Fault) -> CloseReason {
+        if fault == Fault::Malformed { CloseReason::Malformed } else { CloseReason::TooLarge }
     }
 }
 
-/// The decisions and the state, changed by events alone.
+/// The decisions and the gateway's state, which only events change.
 pub struct Reducer {
-    pub(super) gate: Balance<Handle>,
-    pub(super) desk: Rc<RefCell<Desk>>,
+    pub(super) decisions: Balance<SharedState>,
+    pub(super) state: Rc<RefCell<GatewayState>>,
     seed: u64,
 }
 
 impl Reducer {
-    /// Starts the decisions with what the configuration and the operator file hold; the configuration's list
-    /// comes first, then its news.
+    /// Starts the decisions with the configuration and the operator file. If the configuration holds a server
+    /// list and the platform's state, the list is applied first.
     pub fn start(now: Micros, config: &Config, operator: &Operator) -> (Self, Vec<Effect>) {
-        let mut desk = Desk::new(now, config);
-        desk.operate(operator.clone(), config.seed);
-        let desk = Rc::new(RefCell::new(desk));
-        let gate = Balance::start(Handle(desk.clone()), config.seed, config.settings.clone());
-        let mut reducer = Reducer { gate, desk, seed: config.seed };
-        let known = config.known.as_ref().map(|known| discovery::list_of(known, &reducer.desk().words));
-        match known {
-            Some(Ok(list)) => reducer.list_came(list),
-            Some(Err(fault)) => reducer.desk().log(format!("known list left out: {fault}")),
+        let mut state = GatewayState::new(now, config);
+        state.apply_operator_file(operator.clone(), config.seed);
+        let state = Rc::new(RefCell::new(state));
+        let decisions = Balance::start(SharedState(state.clone()), config.seed, config.settings.clone());
+        let mut reducer = Reducer { decisions, state, seed: config.seed };
+        let initial_list = config
+            .initial_list
+            .as_ref()
+            .map(|list| discovery::list_from_json(list, &reducer.state().known_names));
+        match initial_list {
+            Some(Ok(list)) => reducer.list_received(list),
+            Some(Err(fault)) => reducer.state().log(format!("known list left out: {fault}")),
             None => {}
         }
-        if let Some(news) = config.news {
-            reducer.gate.news_came(news);
+        if let Some(news) = config.initial_news {
+            reducer.decisions.news_came(news);
         }
-        reducer.desk().ask_notices();
+        reducer.state().open_event_stream();
         reducer.settle();
-        let effects = std::mem::take(&mut reducer.desk().effects);
+        let effects = std::mem::take(&mut reducer.state().effects);
         (reducer, effects)
     }
 
-    pub(super) fn desk(&self) -> RefMut<'_, Desk> {
-        self.desk.borrow_mut()
+    pub(super) fn state(&self) -> RefMut<'_, GatewayState> {
+        self.state.borrow_mut()
     }
 
-    /// Whether it wants to know where clients connect from.
-    pub fn asks_origins(&self) -> bool {
-        self.desk().room.is_some()
+    /// Whether it needs an [`Event::ClientAddress`] for each connection of a client.
+    pub fn wants_client_addresses(&self) -> bool {
+        self.state().session_table.is_some()
     }
 
-    /// When something is due next.
-    pub fn next(&self) -> Option<Micros> {
-        self.desk().timers.next()
+    /// When the next timer is due.
+    pub fn next_timer(&self) -> Option<Micros> {
+        self.state().timers.next_due()
     }
 
-    /// Takes what has happened at `now` and returns what is to be done, in order.
+    /// Handles an event that happened at `now`, and all timers that are due by then. Returns the effects in
+    /// order.
     pub fn reduce(&mut self, now: Micros, event: Event) -> Vec<Effect> {
-        self.desk().now = now;
+        self.state().now = now;
+        self.handle_event(event);
+        self.settle();
+        loop {
+            let due = self.state().timers.take_due(now);
+            let Some(timer) = due else { break };
+            self.handle_timer(timer);
+            self.settle();
+        }
+        let mut state = self.state();
+        if is_stop_complete(&state) {
+            state.effects.push(Effect::Exit);
+        }
+        std::mem::take(&mut state.effects)
+    }
+
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Up(id) => self.up(id),
-            Event::Bytes(id, read, bytes) => self.bytes(id, read, &bytes),
+            Event::Connected(id) => self.connected(id),
+            Event::Received(id, arrived_at, bytes) => self.received(id, arrived_at, &bytes),
             Event::Written(id) => self.written(id),
-            Event::Stale(id, message) => self.desk().stale(id, message),
-            Event::Ended(id) => self.ended(id),
+            Event::Stale(id, message) => self.state().resend_from_stale(id, message),
+            Event::Closed(id) => self.closed(id),
             Event::Datagram(from, bytes) => {
-                // Gateways are known by their addresses; whoever else sends is no peer.
-                let peer = self.desk().peer(from);
+                // Peers are identified by their addresses; datagrams from other addresses are dropped.
+                let peer = self.state().peer_at(from);
                 match peer {
-                    Some(peer) => self.gate.peer_told(peer, &bytes),
-                    None => self.desk().log(format!("datagram from {from} left out")),
+                    Some(peer) => self.decisions.peer_told(peer, &bytes),
+                    None => self.state().log(format!("datagram from {from} left out")),
                 }
             }
-            Event::From(id, from) => self.desk().comes_from(id, from),
+            Event::ClientAddress(id, address) => self.state().remember_client_address(id, address),
             Event::Joined(session, joined) => self.session_joined(session, joined),
-            Event::Session(session, end) => self.session_ends(session, end),
-            Event::Glanced(seen) => self.glanced(seen),
-            Event::Time => {}
+            Event::Session(session, end) => self.session_event(session, end),
+            Event::SessionActivity(samples) => self.sessions_sampled(samples),
+            Event::Tick => {}
             Event::Reload(discovery, platform) => self.reload(discovery, platform),
-            Event::Operate(operator) => {
+            Event::OperatorFile(operator) => {
                 let seed = self.seed;
-                self.desk().operate(*operator, seed);
+                self.state().apply_operator_file(*operator, seed);
             }
             Event::Stop => self.stop(),
         }
-        self.settle();
-        loop {
-            let due = self.desk().timers.take_due(now);
-            let Some(timer) = due else { break };
-            self.timer(timer);
-            self.settle();
-        }
-        let stopped = |desk: &Desk| {
-            let answered = || desk.tickets.values().all(|ticket| ticket.client.is_none());
-            desk.stopping && !desk.listening && answered() && !desk.sessions_stand()
-        };
-        let mut desk = self.desk();
-        if stopped(&desk) && !desk.conns.iter().any(|(id, conn)| id.is_client() && conn.unwritten) {
-            desk.effects.push(Effect::Exit);
-        }
-        std::mem::take(&mut desk.effects)
     }
 
-    /// Lets what has happened take its course, at the decisions and at the sessions.
+    /// Passes on what an event has caused, to the decisions and to the sessions.
     fn settle(&mut self) {
-        self.tell();
-        self.sessions();
+        self.report_outcomes();
+        self.run_sessions();
     }
 
-    /// Tells the decisions what they have not heard yet, in order. What they do may add to it.
-    pub(super) fn tell(&mut self) {
+    /// Reports all outcomes to the decisions, in order. What the decisions do about them may add further
+    /// ones.
+    pub(super) fn report_outcomes(&mut self) {
         loop {
-            let told = self.desk().told.pop_front();
-            match told {
+            let outcome = self.state().outcomes.pop_front();
+            match outcome {
                 None => return,
-                Some(Told::Trip(id, trip, ending, load)) => {
-                    let desk = self.desk();
-                    let ticket = &desk.tickets[&id];
-                    let took = desk.now - ticket.trips[trip.0 as usize].sent;
-                    let over = ticket.client.is_none();
-                    drop(desk);
-                    self.gate.trip_ended(id, trip, took, ending, over, &load);
-                    self.desk().tidy(id);
+                Some(Outcome::Attempt(id, attempt, ending, load)) => {
+                    let state = self.state();
+                    let request = &state.requests[&id];
+                    let duration = state.now - request.attempts[attempt.0 as usize].sent_at;
+                    let is_answered = request.client.is_none();
+                    drop(state);
+                    self.decisions.trip_ended(id, attempt, duration, ending, is_answered, &load);
+                    self.state().remove_if_finished(id);
                 }
-                Some(Told::Probe(server, ending, took, load)) => {
-                    self.gate.probe_ended(server, ending, took, &load);
+                Some(Outcome::Probe(server, ending, duration, load)) => {
+                    self.decisions.probe_ended(server, ending, duration, &load);
                 }
-                Some(Told::Vote(taken)) => self.gate.vote_answered(taken),
-                Some(Told::ListFailed) => self.gate.list_failed(),
+                Some(Outcome::Vote(taken)) => self.decisions.vote_answered(taken),
+                Some(Outcome::ListFailed) => self.decisions.list_failed(),
             }
         }
     }
 
-    fn timer(&mut self, timer: Timer) {
+    fn handle_timer(&mut self, timer: Timer) {
         match timer {
-            Timer::Wake(wake) => self.gate.woke(wake),
-            Timer::Trip(id, trip) => self.desk().give_up(id, trip, Ending::TimedOut, Reason::TimedOut),
-            Timer::Conn(id) => {
-                let due = self.desk().is_due(id);
-                if due {
-                    self.stood_too_long(id);
+            Timer::Wake(wake) => self.decisions.woke(wake),
+            Timer::Attempt(id, attempt) => {
+                self.state().abandon_attempt(id, attempt, Ending::TimedOut, CloseReason::TimedOut);
+            }
+            Timer::Connection(id) => {
+                let is_passed = self.state().is_deadline_passed(id);
+                if is_passed {
+                    self.connection_timed_out(id);
                 }
             }
-            Timer::Notices => self.desk().ask_notices(),
-            Timer::Refusals => self.desk().tell_refusals(),
-            Timer::Sessions => self.session_timer(),
-            Timer::Glance => self.glance_timer(),
+            Timer::EventStream => self.state().open_event_stream(),
+            Timer::RefusalSummary => self.state().log_refusal_summary(),
+            Timer::Sessions => self.session_timer_due(),
+            Timer::SessionSamples => self.sample_timer_due(),
             Timer::StopListening => {
-                let mut desk = self.desk();
-                desk.listening = false;
-                desk.effects.push(Effect::StopListening);
-                close_idle_clients(&mut desk);
-            }
-            // Guards against tickets whose clients wait longer than there is time to stop: an end without their
-            // answers loses them all. Harm: those that would have been finished in the last 0.1 s are not.
-            Timer::AnswerAll => self.gate.stops(),
-            Timer::Exit => self.desk().effects.push(Effect::Exit),
+                let mut state = self.state();
+                state.listening = false;
+                state.effects.push(Effect::StopListening);
+                close_idle_clients(&mut state);
+            }
+            // Requests whose clients wait longer than the process has to stop would be lost if it exited
+            // without answering them. The drawback: requests that would have finished in the last 0.1 s do
+            // not.
+            Timer::AnswerAll => self.decisions.stops(),
+            Timer::Exit => self.state().effects.push(Effect::Exit),
         }
     }
 
     fn stop(&mut self) {
-        let mut desk = self.desk();
-        if !std::mem::replace(&mut desk.stopping, true) {
-            let now = desk.now;
-            desk.log("stopping".to_owned());
-            desk.timers.set(now + STILL_LISTENS, Timer::StopListening);
-            desk.timers.set(now + ANSWERS_WITHIN, Timer::AnswerAll);
-            desk.timers.set(now + STOPS_WITHIN, Timer::Exit);
-            close_idle_clients(&mut desk);
-            if let Some(room) = &mut desk.room {
-                room.sessions.stop(now);
+        let mut state = self.state();
+        if !std::mem::replace(&mut state.stopping, true) {
+            let now = state.now;
+            state.log("stopping".to_owned());
+            state.timers.set(now + ACCEPT_AFTER_STOP, Timer::StopListening);
+            state.timers.set(now + ANSWER_ALL_AFTER_STOP, Timer::AnswerAll);
+            state.timers.set(now + EXIT_AFTER_STOP, Timer::Exit);
+            close_idle_clients(&mut state);
+            if let Some(table) = &mut state.session_table {
+                table.sessions.stop(now);
             }
         }
     }
 
-    /// The platform told its state.
-    fn news_came(&mut self, news: News) {
-        if let Some(room) = &mut self.desk().room {
-            room.stale = true;
+    /// The platform has sent its state.
+    fn news_received(&mut self, news: News) {
+        if let Some(table) = &mut self.state().session_table {
+            table.shares_outdated = true;
         }
-        self.gate.news_came(news);
+        self.decisions.news_came(news);
     }
 
-    /// The services have these addresses from now on. What was known stays until told otherwise. The old
-    /// addresses fall silent soon, so that what is asked there is asked at the new ones at once; a vote whose
-    /// answer is cut off may or may not count and is cast again.
+    /// Changes the addresses of the list service and of the platform; what they have sent so far remains
+    /// valid. The old addresses will soon be silent, so that calls to them are ended and made to the new ones
+    /// at once. A vote whose answer is cut off may or may not be counted, and is cast again.
     fn reload(&mut self, discovery: SocketAddr, platform: SocketAddr) {
-        let mut desk = self.desk();
-        desk.log(format!("reload: discovery={discovery} rollouts.address={platform}"));
-        let list = std::mem::replace(&mut desk.discovery, discovery) != discovery;
-        let votes = std::mem::replace(&mut desk.platform, platform) != platform;
-        let moved = |kind: &Kind| match kind {
-            Kind::List | Kind::Watch(_) => list,
-            Kind::Vote | Kind::Notices(_) => votes,
-            Kind::Client { .. } | Kind::Server { .. } => false,
+        let mut state = self.state();
+        state.log(format!("reload: discovery={discovery} rollouts.address={platform}"));
+        let discovery_moved = std::mem::replace(&mut state.discovery, discovery) != discovery;
+        let platform_moved = std::mem::replace(&mut state.platform, platform) != platform;
+        let is_moved = |kind: &ConnectionKind| match kind {
+            ConnectionKind::List | ConnectionKind::Watch(_) => discovery_moved,
+            ConnectionKind::Vote | ConnectionKind::EventStream(_) => platform_moved,
+            ConnectionKind::Client { .. } | ConnectionKind::Server { .. } => false,
         };
-        let stream = |kind: &Kind| matches!(kind, Kind::Watch(_) | Kind::Notices(_));
-        let old = desk.conns.iter().filter(|(_, conn)| moved(&conn.kind));
-        let old: Vec<_> = old.map(|(id, conn)| (*id, stream(&conn.kind))).collect();
-        let follows = desk.follows && list;
-        drop(desk);
-        for (id, stream) in old {
-            if stream {
-                // Asked for again below, and not after a while, as one that failed is.
-                self.desk().close(id, Reason::Moved);
+        let is_stream =
+            |kind: &ConnectionKind| matches!(kind, ConnectionKind::Watch(_) | ConnectionKind::EventStream(_));
+        let moved = state.connections.iter().filter(|(_, connection)| is_moved(&connection.kind));
+        let moved: Vec<_> = moved.map(|(id, connection)| (*id, is_stream(&connection.kind))).collect();
+        let reopen_watch = state.follows_list && discovery_moved;
+        drop(state);
+        for (id, is_stream) in moved {
+            if is_stream {
+                // Opened again below, without the wait that follows a failure.
+                self.state().close(id, CloseReason::Moved);
             } else {
-                self.failed(id, Reason::Moved, false);
+                self.connection_failed(id, CloseReason::Moved, false);
             }
         }
-        if votes {
-            self.desk().ask_notices();
+        if platform_moved {
+            self.state().open_event_stream();
         }
-        if follows {
-            Handle(self.desk.clone()).follow_list(true);
+        if reopen_watch {
+            SharedState(self.state.clone()).follow_list(true);
         }
     }
 
     // ---- connections ----
 
-    fn up(&mut self, id: ConnId) {
-        let mut desk = self.desk();
+    fn connected(&mut self, id: ConnectionId) {
+        let mut state = self.state();
         if id.is_client() {
-            return desk.client_came(id);
+            return state.client_connected(id);
         }
-        let Some(conn) = desk.conns.get_mut(&id) else { return };
-        let message = conn.pending.take();
-        if let Kind::Server { server, process, work: Some(work) } = conn.kind {
-            // Guards against a first byte after a drain's grace, for a dial that took long, and against one
-            // to another build than was meant, past the cap of its exposure.
-            let meant = |place: &Place| place.condition == Condition::Healthy && place.process == process;
-            if !desk.servers.get(&server).is_some_and(meant) {
-                if let Work::Trip(ticket, trip) = work {
-                    desk.give_up(ticket, trip, Ending::ConnectFailed, Reason::Unlisted);
+        let Some(connection) = state.connections.get_mut(&id) else { return };
+        let message = connection.first_message.take();
+        if let ConnectionKind::Server { server, process, call: Some(call) } = connection.kind {
+            // If connecting took long, the server may be draining by now, and its grace period over; or
+            // another build may run at its address, which must not get more than its cap.
+            let is_unchanged =
+                |listed: &ListedServer| listed.condition == Condition::Healthy && listed.process == process;
+            if !state.servers.get(&server).is_some_and(is_unchanged) {
+                if let ServerCall::Attempt(request, attempt) = call {
+                    state.abandon_attempt(request, attempt, Ending::ConnectFailed, CloseReason::Unlisted);
                 }
                 return;
             }
-            if let Work::Trip(..) = work {
-                desk.due_at(id, None);
+            if let ServerCall::Attempt(..) = call {
+                state.set_deadline(id, None);
             }
         }
         if let Some(message) = message {
-            desk.write(id, message);
+            state.write(id, message);
         }
     }
 
-    fn written(&mut self, id: ConnId) {
-        let mut desk = self.desk();
-        let now = desk.now;
-        let Some(conn) = desk.conns.get_mut(&id) else { return };
-        (conn.unwritten, conn.since) = (false, now);
-        if let Kind::Client { ticket: None, last: false, .. } = conn.kind {
-            drop(desk);
-            self.client(id);
-            self.desk().rested();
+    fn written(&mut self, id: ConnectionId) {
+        let mut state = self.state();
+        let now = state.now;
+        let Some(connection) = state.connections.get_mut(&id) else { return };
+        (connection.write_pending, connection.idle_since) = (false, now);
+        if let ConnectionKind::Client { request: None, last: false, .. } = connection.kind {
+            drop(state);
+            self.read_client(id);
+            self.state().shed_idle_clients();
         }
     }
 
-    fn bytes(&mut self, id: ConnId, read: Micros, bytes: &[u8]) {
-        let mut desk = self.desk();
-        let Some(conn) = desk.conns.get_mut(&id) else {
-            drop(desk);
-            return self.session_bytes(id, bytes);
+    fn received(&mut self, id: ConnectionId, arrived_at: Micros, bytes: &[u8]) {
+        let mut state = self.state();
+        let Some(connection) = state.connections.get_mut(&id) else {
+            drop(state);
+            return self.session_bytes_received(id, bytes);
         };
-        conn.buffer.push(bytes);
-        (conn.heard, conn.leaves) = (read, None);
-        match conn.kind {
-            Kind::Client { last: true, .. } => desk.consume(id, bytes.len()),
-            Kind::Client { .. } => {
-                drop(desk);
-                self.client(id);
-            }
-            Kind::Server { .. } | Kind::List | Kind::Vote => {
-                drop(desk);
-                self.answered(id, false);
-            }
-            Kind::Watch(_) | Kind::Notices(_) => {
-                drop(desk);
-                self.streamed(id);
+        connection.buffer.push(bytes);
+        (connection.last_received_at, connection.closing) = (arrived_at, None);
+        match connection.kind {
+            ConnectionKind::Client { last: true, .. } => state.consume(id, bytes.len()),
+            ConnectionKind::Client { .. } => {
+                drop(state);
+                self.read_client(id);
+            }
+            ConnectionKind::Server { .. } | ConnectionKind::List | ConnectionKind::Vote => {
+                drop(state);
+                self.read_answer(id, false);
+            }
+            ConnectionKind::Watch(_) | ConnectionKind::EventStream(_) => {
+                drop(state);
+                self.read_stream(id);
             }
         }
     }
 
-    /// The other side has ended a connection.
-    fn ended(&mut self, id: ConnId) {
-        let calls = |kind: &Kind| matches!(kind, Kind::Server { .. } | Kind::List | Kind::Vote);
-        let begun = |conn: &Conn| calls(&conn.kind) && !conn.buffer.is_empty() && !conn.unwritten;
-        let begun = self.desk().conns.get(&id).map(begun);
-        let Some(begun) = begun else { return self.session_conn_ended(id) };
+    /// The peer has closed a connection.
+    fn closed(&mut self, id: ConnectionId) {
+        let expects_answer = |kind: &ConnectionKind| {
+            matches!(kind, ConnectionKind::Server { .. } | ConnectionKind::List | ConnectionKind::Vote)
+        };
+        let has_partial_answer = |connection: &ConnectionState| {
+            expects_answer(&connection.kind) && !connection.buffer.is_empty() && !connection.write_pending
+        };
+        let has_partial_answer = self.state().connections.get(&id).map(has_partial_answer);
+        let Some(has_partial_answer) = has_partial_answer else { return self.session_connection_ended(id) };
         // An answer without a length ends with its connection.
-        if begun && self.answered(id, true) {
+        if has_partial_answer && self.read_answer(id, true) {
             return;
         }
-        let unwritten = self.desk().conns.get(&id).is_some_and(|conn| conn.unwritten);
-        self.failed(id, if unwritten && !id.is_client() { Reason::NoConnect } else { Reason::Broke }, true);
+        let write_pending =
+            self.state().connections.get(&id).is_some_and(|connection| connection.write_pending);
+        let reason =
+            if write_pending && !id.is_client() { CloseReason::NoConnect } else { CloseReason::Broke };
+        self.connection_failed(id, reason, true);
     }
 
-    fn stood_too_long(&mut self, id: ConnId) {
-        let mut desk = self.desk();
-        let Some(conn) = desk.conns.get(&id) else { return };
-        let reason = match conn.kind {
-            Kind::Client { last: true, .. } => Reason::LastMessage,
-            Kind::Client { .. } if conn.unwritten => Reason::Slow,
-            Kind::Client { .. } if !conn.buffer.is_empty() => {
-                desk.log(format!("client conn={id} answered 408"));
-                return desk.answer(id, client::plain(408, true), true);
-            }
-            Kind::Client { answered: true, .. } => return desk.close_unused(id, Reason::Idle),
-            Kind::Client { .. } => return desk.close_unused(id, Reason::Mute),
-            Kind::Server { work: None, .. } => Reason::Idle,
-            Kind::Server { .. } if conn.unwritten => Reason::NoConnect,
-            Kind::Server { .. } if !conn.buffer.is_empty() => Reason::Slow,
-            _ => Reason::Silent,
+    /// A connection's deadline has passed.
+    fn connection_timed_out(&mut self, id: ConnectionId) {
+        let mut state = self.state();
+        let Some(connection) = state.connections.get(&id) else { return };
+        let reason = match connection.kind {
+            ConnectionKind::Client { last: true, .. } => CloseReason::LastMessage,
+            ConnectionKind::Client { .. } if connection.write_pending => CloseReason::Slow,
+            ConnectionKind::Client { .. } if !connection.buffer.is_empty() => {
+                state.log(format!("client conn={id} answered 408"));
+                return state.answer(id, client::status_only(408, true), true);
+            }
+            ConnectionKind::Client { answered: true, .. } => {
+                return state.close_if_idle(id, CloseReason::Idle);
+            }
+            ConnectionKind::Client { .. } => return state.close_if_idle(id, CloseReason::Mute),
+            ConnectionKind::Server { call: None, .. } => CloseReason::Idle,
+            ConnectionKind::Server { .. } if connection.write_pending => CloseReason::NoConnect,
+            ConnectionKind::Server { .. } if !connection.buffer.is_empty() => CloseReason::Slow,
+            _ => CloseReason::Silent,
         };
-        drop(desk);
-        self.failed(id, reason, false);
+        drop(state);
+        self.connection_failed(id, reason, false);
     }
 
-    /// A connection has ended otherwise than by a whole answer, from the other side or for a reason of ours.
-    pub(super) fn failed(&mut self, id: ConnId, reason: Reason, gone: bool) {
-        let mut desk = self.desk();
-        let Some(conn) = desk.conns.get(&id) else { return };
-        let unwritten = conn.unwritten;
-        let reason = match conn.kind {
-            _ if gone && conn.leaves.is_some() => conn.leaves.unwrap_or(reason),
-            Kind::Client { ticket: Some(_), .. } if gone => Reason::ClientLeft,
-            Kind::Client { .. } | Kind::Server { work: None, .. } if gone => Reason::PeerClosed,
+    /// A connection ends without a complete answer. `closed_by_peer` says that it has ended already;
+    /// otherwise it is closed from this side.
+    pub(super) fn connection_failed(&mut self, id: ConnectionId, reason: CloseReason, closed_by_peer: bool) {
+        let mut state = self.state();
+        let Some(connection) = state.connections.get(&id) else { return };
+        let write_pending = connection.write_pending;
+        let reason = match connection.kind {
+            _ if closed_by_peer && connection.closing.is_some() => connection.closing.unwrap_or(reason),
+            ConnectionKind::Client { request: Some(_), .. } if closed_by_peer => CloseReason::ClientLeft,
+            ConnectionKind::Client { .. } | ConnectionKind::Server { call: None, .. } if closed_by_peer => {
+                CloseReason::PeerClosed
+            }
             _ => reason,
         };
-        let ended = if gone { desk.forget(id, reason) } else { desk.close(id, reason) };
-        let Some(conn) = ended else { return };
-        let now = desk.now;
-        match conn.kind {
-            Kind::Client { ticket: Some(ticket), .. } => {
-                if let Some(ticket) = desk.tickets.get_mut(&ticket) {
-                    ticket.client = None;
+        let removed =
+            if closed_by_peer { state.remove_connection(id, reason) } else { state.close(id, reason) };
+        let Some(connection) = removed else { return };
+        let now = state.now;
+        match connection.kind {
+            ConnectionKind::Client { request: Some(request), .. } => {
+                if let Some(request) = state.requests.get_mut(&request) {
+                    request.client = None;
                 }
-                drop(desk);
-                self.gate.client_left(ticket);
-                self.desk().tidy(ticket);
-            }
-            Kind::Server { server, work: Some(work), .. } => {
-                // Before the last byte is written it has not run; after that it may have.
-                let ending = if unwritten { Ending::ConnectFailed } else { Ending::Reset };
-                match work {
-                    Work::Trip(ticket, trip) => desk.trip_over(ticket, trip, ending, Vec::new()),
-                    Work::Probe(sent) => desk.told.push_back(Told::Probe(server, ending, now - sent, vec![])),
+                drop(state);
+                self.decisions.client_left(request);
+                self.state().remove_if_finished(request);
+            }
+            ConnectionKind::Server { server, call: Some(call), .. } => {
+                // A request can't have been executed before its last byte was written; after that it may have
+                // been.
+                let ending = if write_pending { Ending::ConnectFailed } else { Ending::Reset };
+                match call {
+                    ServerCall::Attempt(request, attempt) => {
+                        state.end_attempt(request, attempt, ending, Vec::new());
+                    }
+                    ServerCall::Probe(sent_at) => {
+                        state.outcomes.push_back(Outcome::Probe(server, ending, now - sent_at, vec![]));
+                    }
                 }
             }
-            Kind::List | Kind::Watch(_) => desk.told.push_back(Told::ListFailed),
-            Kind::Vote => {
-                let taken = if unwritten { Taken::Error } else { Taken::Unknown };
-                desk.told.push_back(Told::Vote(taken));
+            ConnectionKind::List | ConnectionKind::Watch(_) => {
+                state.outcomes.push_back(Outcome::ListFailed);
+            }
+            ConnectionKind::Vote => {
+                let taken = if write_pending { Taken::Error } else { Taken::Unknown };
+                state.outcomes.push_back(Outcome::Vote(taken));
             }
-            Kind::Notices(_) => desk.ask_notices_later(),
-            Kind::Client { ticket: None, .. } | Kind::Server { work: None, .. } => {}
+            ConnectionKind::EventStream(_) => state.retry_event_stream_later(),
+            ConnectionKind::Client { request: None, .. } | ConnectionKind::Server { call: None, .. } => {}
         }
     }
 
     // ---- clients ----
 
-    /// Takes the next message of a client that has no ticket open and has taken its last answer.
-    fn client(&mut self, id: ConnId) {
+    /// Handles the messages of a client that has no open request and has read its last answer.
+    fn read_client(&mut self, id: ConnectionId) {
         loop {
-            let mut desk = self.desk();
-            let now = desk.now;
-            let Some(conn) = desk.conns.get(&id) else { return };
-            let Kind::Client { ticket: None, last: false, surplus, .. } = conn.kind else { return };
-            if conn.unwritten {
+            let mut state = self.state();
+            let now = state.now;
+            let Some(connection) = state.connections.get(&id) else { return };
+            let ConnectionKind::Client { request: None, last: false, surplus, .. } = connection.kind else {
+                return;
+            };
+            if connection.write_pending {
                 return;
             }
-            let waited = now - conn.heard;
-            let message = match http::request(conn.buffer.data()) {
+            let waited = now - connection.last_received_at;
+            let message = match http::parse_request(connection.buffer.data()) {
                 Ok(Some((message, used))) => {
-                    desk.consume(id, used);
+                    state.consume(id, used);
                     message
                 }
-                Ok(None) if conn.buffer.data().len() < HELD_MOST => return desk.client_waits(id),
-                Ok(None) => return desk.answer(id, client::plain(413, true), true),
+                Ok(None) if connection.buffer.data().len() < MAX_UNREAD_BYTES => {
+                    return state.await_client_message(id);
+                }
+                Ok(None) => return state.answer(id, client::status_only(413, true), true),
                 Err(fault) => {
-                    // Where the next message begins is not known any more.
-                    desk.log(format!("client conn={id} unreadable: {fault:?}"));
-                    return desk.answer(id, client::plain(client::status(fault), true), true);
+                    // The connection ends: where its next message begins is unknown.
+                    state.log(format!("client conn={id} unreadable: {fault:?}"));
+                    let status = client::status_of_fault(fault);
+                    return state.answer(id, client::status_only(status, true), true);
                 }
             };
-            let last = !message.keep || desk.stopping || surplus;
-            let upgrades = desk.room.as_ref().and_then(|room| room.settings.as_ref());
-            match client::asked(message, &desk.profiles, waited, upgrades) {
-                Asked::Health => {
-                    let status = if desk.stopping || desk.servers.is_empty() { 503 } else { 200 };
-                    desk.answer(id, client::plain(status, last), last);
+            let last = !message.keep_alive || state.stopping || surplus;
+            let upgrades = state.session_table.as_ref().and_then(|table| table.settings.as_ref());
+            match client::classify(message, &state.profiles, waited, upgrades) {
+                ClientMessage::HealthCheck => {
+                    let status = if state.stopping || state.servers.is_empty() { 503 } else { 200 };
+                    state.answer(id, client::status_only(status, last), last);
                 }
-                Asked::Wrong(status) => {
-                    desk.log(format!("client conn={id} answered {status}"));
-                    desk.answer(id, client::plain(status, last), last);
+                ClientMessage::Invalid(status) => {
+                    state.log(format!("client conn={id} answered {status}"));
+                    state.answer(id, client::status_only(status, last), last);
                 }
-                Asked::Refused(refusal) => {
-                    desk.log(format!("client conn={id} upgrade refused: {refusal:?}"));
-                    desk.answer(id, client::refused(refusal, last), last);
+                ClientMessage::UpgradeRefused(refusal) => {
+                    state.log(format!("client conn={id} upgrade refused: {refusal:?}"));
+                    state.answer(id, client::upgrade_refused(refusal, last), last);
                 }
-                Asked::Ticket { request, .. } if desk.is_open(&request.id) => {
-                    // Guards against an answer or a trip taken for another ticket's.
-                    desk.log(format!("client conn={id} answered 400: its id is open already"));
-                    desk.answer(id, client::plain(400, true), true);
+                ClientMessage::Request { request, .. } if state.is_open(&request.id) => {
+                    // With the same id twice, an answer or an attempt could be taken for the other request's.
+                    state.log(format!("client conn={id} answered 400: its id is open already"));
+                    state.answer(id, client::status_only(400, true), true);
                 }
-                Asked::Ticket { .. } if surplus || desk.tickets.len() >= desk.max_open => {
-                    desk.refused_for(if surplus { Cause::Descriptors } else { Cause::MostOpen });
-                    desk.answer(id, client::turned_back(None, last), last);
+                ClientMessage::Request { .. }
+                    if surplus || state.requests.len() >= state.max_open_requests =>
+                {
+                    state.count_refusal(if surplus { Cause::Descriptors } else { Cause::MaxOpen });
+                    state.answer(id, client::rejected(None, last), last);
                 }
-                Asked::Ticket { arrival, mut request } => {
-                    let session = match desk.admit(id, &arrival, &mut request) {
+                ClientMessage::Request { arrival, mut request } => {
+                    let session = match state.admit_upgrade(id, &arrival, &mut request) {
                         Ok(session) => session,
-                        Err(TurnedBack(wait)) => {
-                            desk.refused_for(Cause::Session);
-                            desk.answer(id, client::turned_back(Some(wait), last), last);
+                        Err(UpgradeRejected { retry_after }) => {
+                            state.count_refusal(Cause::Session);
+                            state.answer(id, client::rejected(Some(retry_after), last), last);
                             continue;
                         }
                     };
                     if session.is_some() {
-                        // What gives way to it does so before its first trip goes out.
-                        drop(desk);
-                        self.sessions();
-                        desk = self.desk();
+                        // An opening that it replaces is abandoned before its first attempt is sent.
+                        drop(state);
+                        self.run_sessions();
+                        state = self.state();
                     }
-                    let until = desk.until(arrival.left);
-                    let ticket = Ticket { client: Some(id), request, until, trips: Vec::new() };
-                    let number = desk.new_ticket(ticket);
-                    session.into_iter().for_each(|session| desk.opens(session, number));
-                    if let Some(Conn { kind: Kind::Client { ticket, last: is_last, .. }, .. }) =
-                        desk.conns.get_mut(&id)
+                    let deadline = state.answer_deadline(arrival.left);
+                    let open_request =
+                        OpenRequest { client: Some(id), request, deadline, attempts: Vec::new() };
+                    let number = state.add_request(open_request);
+                    session.into_iter().for_each(|session| state.add_session(session, number));
+                    if let Some(ConnectionState {
+                        kind: ConnectionKind::Client { request, last: is_last, .. },
+                        ..
+                    }) = state.connections.get_mut(&id)
                     {
-                        (*ticket, *is_last) = (Some(number), last);
+                        (*request, *is_last) = (Some(number), last);
                     }
-                    desk.due_at(id, None);
-                    drop(desk);
-                    self.gate.ticket_came(number, arrival);
-                    self.desk().tidy(number);
+                    state.set_deadline(id, None);
+                    drop(state);
+                    self.decisions.ticket_came(number, arrival);
+                    self.state().remove_if_finished(number);
                 }
             }
         }
     }
 
-    // ---- answers to calls of ours ----
-
-    /// Reads an answer, if it is whole. True if it was, or can't be read.
-    fn answered(&mut self, id: ConnId, ended: bool) -> bool {
-        let mut desk = self.desk();
-        let Some(conn) = desk.conns.get(&id) else { return true };
-        let server = matches!(conn.kind, Kind::Server { .. });
-        let idle = matches!(conn.kind, Kind::Server { work: None, .. });
-        // Nor is it an answer to this trip that came before the trip was written, or all of it. Guards
-        // against a surplus behind the last answer that arrives late. Harm: a clock set forward fails the
-        // trips that are out.
-        if server && (idle || conn.unwritten || conn.heard < conn.asked) {
-            if let Some(conn) = desk.conns.get_mut(&id) {
-                conn.unwritten = false;
-            }
-            drop(desk);
-            self.failed(id, Reason::Unasked, ended);
+    // ---- answers to the gateway's own requests ----
+
+    /// Reads the answer on a connection. True if it was complete, or can't be read; false if more of it is to
+    /// come.
+    fn read_answer(&mut self, id: ConnectionId, ended: bool) -> bool {
+        let mut state = self.state();
+        let Some(connection) = state.connections.get(&id) else { return true };
+        let is_server = matches!(connection.kind, ConnectionKind::Server { .. });
+        let is_idle = matches!(connection.kind, ConnectionKind::Server { call: None, .. });
+        // Bytes that arrived before the attempt was completely written are not its answer, but belong to an
+        // earlier one and arrived late. The drawback: if the system clock is set forward, the running
+        // attempts fail.
+        let is_unasked =
+            is_idle || connection.write_pending || connection.last_received_at < connection.last_request_at;
+        if is_server && is_unasked {
+            if let Some(connection) = state.connections.get_mut(&id) {
+                connection.write_pending = false;
+            }
+            drop(state);
+            self.connection_failed(id, CloseReason::Unasked, ended);
             return true;
         }
-        if let Kind::Server { work: Some(Work::Trip(ticket, _)), .. } = conn.kind
-            && desk.is_upgrade(ticket)
-            && let Ok(Some((answer, used))) = http::switched(conn.buffer.data())
+        if let ConnectionKind::Server { call: Some(ServerCall::Attempt(request, _)), .. } = connection.kind
+            && state.is_upgrade(request)
+            && let Ok(Some((answer, used))) = http::parse_switching_protocols(connection.buffer.data())
         {
-            drop(desk);
-            self.switched(id, &answer, used, ended);
+            drop(state);
+            self.open_session(id, &answer, used, ended);
             return true;
         }
-        match http::answer(conn.buffer.data(), ended) {
-            Ok(None) if conn.buffer.data().len() < HELD_MOST => {
-                if server {
-                    // Guards against an answer that never gets whole: it is known to be spoilt while its
-                    // ticket may still go elsewhere. Harm: one that is written this slowly is lost.
-                    let due = desk.now + ANSWER_SLOW;
-                    let due = conn.due.map_or(due, |before| before.min(due));
-                    desk.due_at(id, Some(due));
+        match http::parse_answer(connection.buffer.data(), ended) {
+            Ok(None) if connection.buffer.data().len() < MAX_UNREAD_BYTES => {
+                if is_server {
+                    // An answer that never becomes complete is recognized while its request may still be
+                    // retried. The drawback: an answer that is written this slowly is lost.
+                    let deadline = state.now + ANSWER_REST_TIMEOUT;
+                    let deadline = connection.deadline.map_or(deadline, |earlier| earlier.min(deadline));
+                    state.set_deadline(id, Some(deadline));
                 }
                 false
             }
             Ok(Some((message, used))) => {
-                desk.consume(id, used);
-                drop(desk);
-                self.take_answer(id, message, ended);
+                state.consume(id, used);
+                drop(state);
+                self.handle_answer(id, message, ended);
                 true
             }
             fault => {
-                drop(desk);
-                self.failed(id, fault.err().map_or(Reason::TooLarge, Reason::from), ended);
+                drop(state);
+                let reason = fault.err().map_or(CloseReason::TooLarge, CloseReason::from);
+                self.connection_failed(id, reason, ended);
                 true
             }
         }
     }
 
-    fn take_answer(&mut self, id: ConnId, answer: Message, ended: bool) {
-        let mut desk = self.desk();
-        let now = desk.now;
-        let Some(conn) = desk.conns.get(&id) else { return };
-        match conn.kind {
-            Kind::Server { server, work: Some(work), .. } => {
-                let (mut ending, load) =
-                    (instance::ending(&answer), instance::load(&answer, &desk.load_fields));
-                match work {
-                    Work::Probe(sent) => {
-                        desk.told.push_back(Told::Probe(server, ending, now - sent, load));
-                    }
-                    Work::Trip(ticket, trip) => {
-                        if ending == Ending::Finished && desk.is_upgrade(ticket) {
-                            // It has run, and there is no session.
-                            ending = Ending::Error;
-                        }
-                        if ending == Ending::Finished {
-                            desk.finish(ticket, |last| client::finished(&answer.body, last));
-                        }
-                        desk.trip_over(ticket, trip, ending, load);
-                    }
-                }
-                desk.keep(id, answer.keep && !ended);
+    /// Handles a complete answer to an attempt, a probe, a vote or a call for the list.
+    fn handle_answer(&mut self, id: ConnectionId, answer: Message, ended: bool) {
+        let mut state = self.state();
+        let Some(connection) = state.connections.get(&id) else { return };
+        match connection.kind {
+            ConnectionKind::Server { server, call: Some(call), .. } => {
+                drop(state);
+                self.handle_server_answer(id, server, call, &answer, ended);
             }
-            Kind::Vote => {
-                let (taken, news) = platform::taken(&answer);
-                desk.log(format!("vote taken: {taken:?}"));
-                desk.close(id, Reason::LastMessage);
-                drop(desk);
+            ConnectionKind::Vote => {
+                let (taken, news) = platform::vote_result(&answer);
+                state.log(format!("vote taken: {taken:?}"));
+                state.close(id, CloseReason::LastMessage);
+                drop(state);
                 if let Some(news) = news {
-                    self.news_came(news);
+                    self.news_received(news);
                 }
-                self.gate.vote_answered(taken);
+                self.decisions.vote_answered(taken);
             }
-            Kind::List if answer.status == 200 => {
-                let list = discovery::list(&answer.body, &desk.words);
-                drop(desk);
+            ConnectionKind::List if answer.status == 200 => {
+                let list = discovery::parse_list(&answer.body, &state.known_names);
+                drop(state);
                 match list {
                     Ok(list) => {
-                        self.desk().close(id, Reason::LastMessage);
-                        self.list_came(list);
+                        self.state().close(id, CloseReason::LastMessage);
+                        self.list_received(list);
                     }
                     Err(fault) => {
-                        self.desk().log(format!("list unreadable: {fault}"));
-                        self.failed(id, Reason::Malformed, false);
+                        self.state().log(format!("list unreadable: {fault}"));
+                        self.connection_failed(id, CloseReason::Malformed, false);
                     }
                 }
             }
-            Kind::List => {
-                drop(desk);
-                self.failed(id, Reason::Refused, false);
+            ConnectionKind::List => {
+                drop(state);
+                self.connection_failed(id, CloseReason::Refused, false);
             }
             _ => {}
         }
     }
 
-    fn list_came(&mut self, list: List) {
+    fn handle_server_answer(
+        &mut self, id: ConnectionId, server: ServerId, call: ServerCall, answer: &Message, ended: bool,
+    ) {
+        let mut state = self.state();
+        let now = state.now;
+        let mut ending = instance::ending(answer);
+        let load = instance::load_report(answer, &state.load_fields);
+        match call {
+            ServerCall::Probe(sent_at) => {
+                state.outcomes.push_back(Outcome::Probe(server, ending, now - sent_at, load));
+            }
+            ServerCall::Attempt(request, attempt) => {
+                if ending == Ending::Finished && state.is_upgrade(request) {
+                    // The server executed the request, but did not open a session.
+                    ending = Ending::Error;
+                }
+                if ending == Ending::Finished {
+                    state.answer_request(request, |last| client::finished(&answer.body, last));
+                }
+                state.end_attempt(request, attempt, ending, load);
+            }
+        }
+        state.release_server_connection(id, answer.keep_alive && !ended);
+    }
+
+    fn list_received(&mut self, list: List) {
         let whole = list.whole;
-        let listings = self.desk().take_list(list);
+        let listings = self.state().apply_list(list);
         match listings {
-            Some(listings) if whole => self.gate.list_came(listings),
-            Some(listings) => self.gate.list_changed(listings),
+            Some(listings) if whole => self.decisions.list_came(listings),
+            Some(listings) => self.decisions.list_changed(listings),
             None => {}
         }
     }
 
     // ---- streams ----
 
-    fn streamed(&mut self, id: ConnId) {
-        let mut desk = self.desk();
-        let Some(conn) = desk.conns.get_mut(&id) else { return };
-        let (Kind::Watch(stream) | Kind::Notices(stream)) = &mut conn.kind else { return };
-        let fed = stream.feed(conn.buffer.data());
+    /// Reads the stream of the list's changes, or of the platform's events.
+    fn read_stream(&mut self, id: ConnectionId) {
+        let mut state = self.state();
+        let Some(connection) = state.connections.get_mut(&id) else { return };
+        let (ConnectionKind::Watch(stream) | ConnectionKind::EventStream(stream)) = &mut connection.kind
+        else {
+            return;
+        };
+        let fed = stream.feed(connection.buffer.data());
         let text = std::mem::take(&mut stream.text);
-        let watch = matches!(conn.kind, Kind::Watch(_));
+        let is_watch = matches!(connection.kind, ConnectionKind::Watch(_));
         match fed {
-            Ok(used) => desk.consume(id, used),
+            Ok(used) => state.consume(id, used),
             Err(end) => {
-                drop(desk);
+                drop(state);
                 let reason = match end {
-                    StreamEnd::Refused => Reason::Refused,
-                    StreamEnd::Last => Reason::LastMessage,
+                    StreamEnd::Refused => CloseReason::Refused,
+                    StreamEnd::LastChunk => CloseReason::LastMessage,
                     StreamEnd::Fault(fault) => fault.into(),
                 };
-                return self.failed(id, reason, false);
+                return self.connection_failed(id, reason, false);
             }
         }
-        let due = if watch { desk.list_due() } else { desk.notices_due() };
-        desk.due_at(id, Some(due));
-        drop(desk);
-        let rest = if watch { self.watched(id, text) } else { self.noticed(id, text) };
-        let mut desk = self.desk();
-        if let Some(Kind::Watch(stream) | Kind::Notices(stream)) =
-            desk.conns.get_mut(&id).map(|c| &mut c.kind)
+        let deadline = if is_watch { state.list_deadline() } else { state.event_stream_deadline() };
+        state.set_deadline(id, Some(deadline));
+        drop(state);
+        let rest = if is_watch { self.read_list_changes(id, text) } else { self.read_events(id, text) };
+        let mut state = self.state();
+        if let Some(ConnectionKind::Watch(stream) | ConnectionKind::EventStream(stream)) =
+            state.connections.get_mut(&id).map(|connection| &mut connection.kind)
         {
             stream.text = rest;
         }
     }
 
-    /// Takes the whole lines of a watch; returns what is not whole yet.
-    fn watched(&mut self, id: ConnId, mut text: Vec<u8>) -> Vec<u8> {
+    /// Applies the complete lines of the list's changes; returns the incomplete line at the end.
+    fn read_list_changes(&mut self, id: ConnectionId, mut text: Vec<u8>) -> Vec<u8> {
         while let Some(end) = text.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = text.drain(..=end).collect();
             if line.trim_ascii().is_empty() {
                 continue;
             }
-            let list = discovery::list(&line, &self.desk().words);
+            let list = discovery::parse_list(&line, &self.state().known_names);
             match list {
-                Ok(list) => self.list_came(list),
+                Ok(list) => self.list_received(list),
                 Err(fault) => {
-                    self.desk().log(format!("list unreadable: {fault}"));
-                    self.failed(id, Reason::Malformed, false);
+                    self.state().log(format!("list unreadable: {fault}"));
+                    self.connection_failed(id, CloseReason::Malformed, false);
                     return Vec::new();
                 }
             }
@@ -641,30 +704,42 @@
         text
     }
 
-    /// Takes the whole events of the platform; returns what is not whole yet. A new stream begins with the
-    /// state, so that one with noise in it is given up: what the noise stood for would not be told again.
-    fn noticed(&mut self, id: ConnId, mut text: Vec<u8>) -> Vec<u8> {
-        for notice in platform::told(&mut text) {
-            match notice {
-                Notice::News(news) => self.news_came(news),
-                Notice::Life => {}
-                Notice::Other(text) => self.desk().log(format!("notice left out: {text:?}")),
-                Notice::Noise(text) => {
-                    self.desk().log(format!("notice unreadable: {text:?}"));
-                    self.failed(id, Reason::Malformed, false);
+    /// Handles the complete events of the platform; returns the incomplete event at the end. A stream with an
+    /// unreadable event is closed: the event would not be sent again, whereas a new stream begins with the
+    /// platform's state.
+    fn read_events(&mut self, id: ConnectionId, mut text: Vec<u8>) -> Vec<u8> {
+        for event in platform::take_events(&mut text) {
+            match event {
+                StreamEvent::News(news) => self.news_received(news),
+                StreamEvent::KeepAlive => {}
+                StreamEvent::UnknownKind(text) => {
+                    self.state().log(format!("notice left out: {text:?}"));
+                }
+                StreamEvent::Unreadable(text) => {
+                    self.state().log(format!("notice unreadable: {text:?}"));
+                    self.connection_failed(id, CloseReason::Malformed, false);
                     return Vec::new();
                 }
             }
-            self.desk().notices_work();
+            self.state().reset_event_stream_backoff();
         }
         text
     }
 }
 
-/// Closes the clients' connections that carry nothing; a message that crosses this is sent once more.
-fn close_idle_clients(desk: &mut Desk) {
-    let idle = desk.conns.iter().filter(|(_, conn)| conn.is_idle_client()).map(|(id, _)| *id);
-    for id in idle.collect::<Vec<_>>() {
-        desk.close_unused(id, Reason::Stopping);
+/// Whether the process may exit after the signal to stop: the listener is closed, all requests are answered,
+/// all answers are written, and no session is left.
+fn is_stop_complete(state: &GatewayState) -> bool {
+    let is_answered = || state.requests.values().all(|request| request.client.is_none());
+    let is_written =
+        || !state.connections.iter().any(|(id, connection)| id.is_client() && connection.write_pending);
+    state.stopping && !state.listening && is_answered() && !state.has_sessions() && is_written()
+}
+
+/// Closes the clients' idle connections. A client whose message crosses the close sends it once more.
+fn close_idle_clients(state: &mut GatewayState) {
+    let idle = state.connections.iter().filter(|(_, connection)| connection.is_idle_client());
+    for id in idle.map(|(id, _)| *id).collect::<Vec<_>>() {
+        state.close_if_idle(id, CloseReason::Stopping);
     }
 }
--- a/crates/garnetdoor-gateway/src/state/servers.rs
+++ b/crates/garnetdoor-gateway/src/state/servers.rs
@@ -1,149 +1,183 @@
-//! Servers: which there are by the list, and their connections.
+//! The servers of the list, and the connections to them.
 
 use std::collections::BTreeSet;
+use std::net::SocketAddr;
 
-use garnetdoor::host::{Condition, Ending, Listing, Micros, ServerId};
+use garnetdoor::host::{BuildNo, Condition, Ending, Listing, Micros, ServerId};
 
-use super::connections::{Kind, Work};
-use super::gateway_state::{Desk, MS, Told};
-use super::request::{Place, Process};
-use crate::event::{ConnId, Effect, Reason};
+use super::connections::{ConnectionKind, ServerCall};
+use super::gateway_state::{GatewayState, MS, Outcome};
+use crate::event::{CloseReason, ConnectionId, Effect};
 use crate::wire::discovery::List;
 
-/// The list service says something every 2 s, and what it has to tell counts as told after 6 s.
-const LIST_SILENT: Micros = 4_500 * MS;
+/// A list call that is silent for so long has failed. The list service sends something every 2 s, and the
+/// decisions take its list as current for 6 s.
+const LIST_TIMEOUT: Micros = 4_500 * MS;
 
-impl Desk {
-    /// Has a server asked for a trip or a probe; the decisions hear of one that could not be sent.
-    pub(super) fn carry(&mut self, server: ServerId, work: Work, message: Vec<u8>, due: Micros) {
-        match (self.ask(server, work, message, due), work) {
-            (on @ Some(_), Work::Trip(ticket, trip)) => {
-                if let Some(trip) = self.out(ticket, trip) {
-                    trip.on = on;
+/// Identifies a server's process by the list: a server id or an address may come back with another process.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub struct ServerProcess {
+    pub address: SocketAddr,
+    pub build: BuildNo,
+    pub started: Option<Micros>,
+}
+
+/// A server as the list showed it last.
+pub struct ListedServer {
+    pub process: ServerProcess,
+    pub condition: Condition,
+    /// Its idle connections, the one used last at the end.
+    pub idle: Vec<ConnectionId>,
+}
+
+impl GatewayState {
+    /// Sends an attempt or a probe to a server; reports to the decisions if it could not be sent.
+    pub(super) fn send_to_server(
+        &mut self, server: ServerId, call: ServerCall, message: Vec<u8>, deadline: Micros,
+    ) {
+        match (self.write_to_server(server, call, message, deadline), call) {
+            (connection @ Some(_), ServerCall::Attempt(request, attempt)) => {
+                if let Some(attempt) = self.running_attempt(request, attempt) {
+                    attempt.connection = connection;
                 }
             }
-            (Some(id), Work::Probe(_)) => self.due_at(id, Some(due)),
-            (None, Work::Trip(ticket, trip)) => self.trip_over(ticket, trip, Ending::NeverSent, Vec::new()),
-            (None, Work::Probe(_)) => {
-                self.told.push_back(Told::Probe(server, Ending::NeverSent, 0, Vec::new()));
+            (Some(id), ServerCall::Probe(_)) => self.set_deadline(id, Some(deadline)),
+            (None, ServerCall::Attempt(request, attempt)) => {
+                self.end_attempt(request, attempt, Ending::NeverSent, Vec::new());
+            }
+            (None, ServerCall::Probe(_)) => {
+                self.outcomes.push_back(Outcome::Probe(server, Ending::NeverSent, 0, Vec::new()));
             }
         }
     }
 
-    /// Sends a message to a server on its idle connection used last, or on a new one.
-    fn ask(&mut self, server: ServerId, work: Work, message: Vec<u8>, due: Micros) -> Option<ConnId> {
-        let place = self.servers.get_mut(&server)?;
-        let process = place.process;
-        let Some(id) = place.idle.pop() else {
-            let due = due.min(self.now + self.dial_within);
-            let kind = Kind::Server { server, process, work: Some(work) };
-            return self.dial(process.address, kind, message, due);
+    /// Writes a message to a server's most recently used idle connection, or to a new one.
+    fn write_to_server(
+        &mut self, server: ServerId, call: ServerCall, message: Vec<u8>, deadline: Micros,
+    ) -> Option<ConnectionId> {
+        let listed = self.servers.get_mut(&server)?;
+        let process = listed.process;
+        let Some(id) = listed.idle.pop() else {
+            let deadline = deadline.min(self.now + self.dial_timeout);
+            let kind = ConnectionKind::Server { server, process, call: Some(call) };
+            return self.dial(process.address, kind, message, deadline);
         };
         let now = self.now;
-        if let Some(conn) = self.conns.get_mut(&id) {
-            conn.kind = Kind::Server { server, process, work: Some(work) };
-            (conn.unwritten, conn.asked) = (true, now);
-            self.effects.push(Effect::WriteUnused(id, message));
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.kind = ConnectionKind::Server { server, process, call: Some(call) };
+            (connection.write_pending, connection.last_request_at) = (true, now);
+            self.effects.push(Effect::WriteIfIdle(id, message));
         }
-        self.due_at(id, None);
+        self.set_deadline(id, None);
         Some(id)
     }
 
-    /// An idle connection had ended, or brought something unasked, when it was to be used: nothing has been
-    /// written, and another one serves. Guards against a surplus taken for the next ticket's answer, and
-    /// against a trip written to a connection that its server has closed, which may have run then.
-    pub fn stale(&mut self, id: ConnId, message: Vec<u8>) {
-        let Some(conn) = self.forget(id, Reason::Stale) else { return };
-        let Kind::Server { server, work: Some(work), .. } = conn.kind else { return };
-        let due = match work {
-            Work::Trip(ticket, _) => self.tickets.get(&ticket).map_or(self.now, |ticket| ticket.until),
-            Work::Probe(sent) => sent + self.dial_within,
+    /// An idle connection had closed, or received bytes, before it could be used. Nothing has been written,
+    /// and the message is sent on another connection. Such bytes could otherwise be taken for the answer to
+    /// the next request, and an attempt could be written to a connection that its server has closed, without
+    /// knowing whether it was executed.
+    pub fn resend_from_stale(&mut self, id: ConnectionId, message: Vec<u8>) {
+        let Some(connection) = self.remove_connection(id, CloseReason::Stale) else { return };
+        let ConnectionKind::Server { server, call: Some(call), .. } = connection.kind else { return };
+        let deadline = match call {
+            ServerCall::Attempt(request, _) => {
+                self.requests.get(&request).map_or(self.now, |request| request.deadline)
+            }
+            ServerCall::Probe(sent_at) => sent_at + self.dial_timeout,
         };
-        self.carry(server, work, message, due);
+        self.send_to_server(server, call, message, deadline);
     }
 
-    /// Keeps a connection to a server for the next trip there, or closes it.
-    pub fn keep(&mut self, id: ConnId, keep: bool) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let whole = keep && conn.buffer.is_empty() && !conn.unwritten;
-        let Kind::Server { server, process, work } = &mut conn.kind else { return };
-        *work = None;
-        let place = self.servers.get_mut(server);
-        let listed = |place: &&mut Place| place.condition == Condition::Healthy && place.process == *process;
-        match place.filter(listed) {
-            Some(place) if whole => {
-                place.idle.push(id);
-                conn.since = self.now;
-                self.due_at(id, Some(self.now + self.idle_for));
+    /// Keeps a server's connection for further requests, or closes it if it is not reusable or its server is
+    /// not listed.
+    pub fn release_server_connection(&mut self, id: ConnectionId, reusable: bool) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let reusable = reusable && connection.buffer.is_empty() && !connection.write_pending;
+        let ConnectionKind::Server { server, process, call } = &mut connection.kind else { return };
+        *call = None;
+        let listed = self.servers.get_mut(server);
+        let is_same_healthy =
+            |listed: &&mut ListedServer| listed.condition == Condition::Healthy && listed.process == *process;
+        match listed.filter(is_same_healthy) {
+            Some(listed) if reusable => {
+                listed.idle.push(id);
+                connection.idle_since = self.now;
+                self.set_deadline(id, Some(self.now + self.idle_timeout));
             }
-            Some(_) => drop(self.close(id, Reason::LastMessage)),
-            None => drop(self.close(id, Reason::Unlisted)),
+            Some(_) => drop(self.close(id, CloseReason::LastMessage)),
+            None => drop(self.close(id, CloseReason::Unlisted)),
         }
     }
 
-    pub(super) fn close_all_idle(&mut self, server: ServerId, reason: Reason) {
-        let idle = self.servers.get_mut(&server).map(|place| std::mem::take(&mut place.idle));
+    /// Closes all idle connections to a server.
+    pub(super) fn close_idle_connections(&mut self, server: ServerId, reason: CloseReason) {
+        let idle = self.servers.get_mut(&server).map(|listed| std::mem::take(&mut listed.idle));
         for id in idle.unwrap_or_default() {
             self.close(id, reason);
         }
     }
 
-    /// Takes a list in; `None` if it is older than what is known.
-    pub fn take_list(&mut self, list: List) -> Option<Vec<Listing>> {
+    /// Applies a list, and returns its listings for the decisions; `None` if it is older than the last one.
+    pub fn apply_list(&mut self, list: List) -> Option<Vec<Listing>> {
         for fault in &list.faults {
             self.log(format!("list entry left out: {fault}"));
         }
-        if list.version < self.version || (list.version == self.version && !list.whole) {
-            self.log(format!("old list ignored: {} after {}", list.version, self.version));
+        if list.version < self.list_version || (list.version == self.list_version && !list.whole) {
+            self.log(format!("old list ignored: {} after {}", list.version, self.list_version));
             return None;
         }
-        self.version = list.version;
-        let before = self.servers_before();
+        self.list_version = list.version;
+        let servers_before = self.servers_for_sessions();
         if list.whole {
-            self.servers.values_mut().for_each(|place| place.condition = Condition::Gone);
+            self.servers.values_mut().for_each(|listed| listed.condition = Condition::Gone);
         }
         let mut listings = Vec::new();
         for entry in list.entries {
-            let server = ServerId(self.names.number(&entry.name) as u32);
+            let server = ServerId(self.server_names.number(&entry.name) as u32);
             let Listing { condition, build, started, .. } = entry.listing;
-            let process = Process { address: entry.address, build, started };
-            if self.servers.get(&server).is_some_and(|place| place.process != process) {
-                self.close_all_idle(server, Reason::Unlisted);
+            let process = ServerProcess { address: entry.address, build, started };
+            if self.servers.get(&server).is_some_and(|listed| listed.process != process) {
+                self.close_idle_connections(server, CloseReason::Unlisted);
             }
-            let place = self.servers.entry(server).or_insert(Place { process, condition, idle: Vec::new() });
-            (place.process, place.condition) = (process, condition);
+            let listed =
+                self.servers.entry(server).or_insert(ListedServer { process, condition, idle: Vec::new() });
+            (listed.process, listed.condition) = (process, condition);
             listings.push(Listing { server, ..entry.listing });
         }
-        let unlisted = self.servers.iter().filter(|(_, place)| place.condition != Condition::Healthy);
-        for server in unlisted.map(|(server, _)| *server).collect::<Vec<_>>() {
-            self.close_all_idle(server, Reason::Unlisted);
+        let unhealthy = self.servers.iter().filter(|(_, listed)| listed.condition != Condition::Healthy);
+        for server in unhealthy.map(|(server, _)| *server).collect::<Vec<_>>() {
+            self.close_idle_connections(server, CloseReason::Unlisted);
         }
-        if let Some(before) = before {
-            self.servers_listed(before);
+        if let Some(servers_before) = servers_before {
+            self.report_servers_to_sessions(servers_before);
         }
-        self.forget_gone();
+        self.remove_gone_servers();
         Some(listings)
     }
 
-    /// Forgets servers that are gone and have no connection left, so that releases do not add up.
-    fn forget_gone(&mut self) {
-        let used: BTreeSet<ServerId> = self
-            .conns
+    /// Removes servers that are gone and have no connection left; with each release they would otherwise
+    /// accumulate.
+    fn remove_gone_servers(&mut self) {
+        let connected: BTreeSet<ServerId> = self
+            .connections
             .values()
-            .filter_map(|conn| if let Kind::Server { server, .. } = conn.kind { Some(server) } else { None })
+            .filter_map(|connection| match connection.kind {
+                ConnectionKind::Server { server, .. } => Some(server),
+                _ => None,
+            })
             .collect();
-        let names = &mut self.names;
-        self.servers.retain(|server, place| {
-            let kept = place.condition != Condition::Gone || used.contains(server);
-            if !kept {
+        let names = &mut self.server_names;
+        self.servers.retain(|server, listed| {
+            let is_kept = listed.condition != Condition::Gone || connected.contains(server);
+            if !is_kept {
                 names.forget(server.0 as usize);
             }
-            kept
+            is_kept
         });
     }
 
-    /// When a call of the list service counts as failed if nothing more comes.
-    pub fn list_due(&self) -> Micros {
-        self.now + LIST_SILENT
+    /// When a call of the list service counts as failed if nothing more arrives.
+    pub fn list_deadline(&self) -> Micros {
+        self.now + LIST_TIMEOUT
     }
 }
--- a/crates/garnetdoor-gateway/src/state/timers.rs
+++ b/crates/garnetdoor-gateway/src/state/timers.rs
@@ -1,64 +1,65 @@
-//! What is due when.
+//! Timers, in the order in which they are due.
 
 use std::collections::BTreeMap;
 
 use garnetdoor::host::{Micros, TicketId, TripNo, Wake};
 
-use crate::event::ConnId;
+use crate::event::ConnectionId;
 
-/// What is to happen then.
+/// What is to be done when a timer is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
+    /// Wake the decisions.
     Wake(Wake),
-    /// A trip is given up.
-    Trip(TicketId, TripNo),
-    /// A connection may have stood as it does for long enough.
-    Conn(ConnId),
-    /// The platform's events are asked for again.
-    Notices,
+    /// Time out an attempt.
+    Attempt(TicketId, TripNo),
+    /// Check whether a connection's deadline has passed.
+    Connection(ConnectionId),
+    /// Ask for the platform's event stream again.
+    EventStream,
     /// Something is due at the sessions.
     Sessions,
-    /// The sessions' connections are looked at.
-    Glance,
-    /// How many requests were refused is told.
-    Refusals,
+    /// Sample the activity of the sessions' connections.
+    SessionSamples,
+    /// Log how many requests were refused.
+    RefusalSummary,
     StopListening,
-    /// What is held gets its answer before the end.
+    /// Give all open requests their final answer before the process ends.
     AnswerAll,
     Exit,
 }
 
-/// When a timer is due, and its number.
-pub type Set = (Micros, u64);
+/// Identifies a timer that was set: when it is due, and its number.
+pub type TimerKey = (Micros, u64);
 
-/// Timers in the order in which they are due, then in which they were set.
+/// Timers in the order in which they are due; those due at the same time in the order in which they were set.
 #[derive(Default)]
 pub struct Timers {
-    waiting: BTreeMap<Set, Timer>,
-    set: u64,
+    waiting: BTreeMap<TimerKey, Timer>,
+    last_number: u64,
 }
 
 impl Timers {
-    /// Sets a timer; it goes by what is returned, should it have to be taken back.
-    pub fn set(&mut self, at: Micros, timer: Timer) -> Set {
-        self.set += 1;
-        self.waiting.insert((at, self.set), timer);
-        (at, self.set)
+    /// Sets a timer. The returned key can be used to cancel it.
+    pub fn set(&mut self, at: Micros, timer: Timer) -> TimerKey {
+        self.last_number += 1;
+        self.waiting.insert((at, self.last_number), timer);
+        (at, self.last_number)
     }
 
-    /// Takes a timer back, so that long times ahead do not add up.
-    pub fn unset(&mut self, set: Set) {
-        self.waiting.remove(&set);
+    /// Cancels a timer. Timers far in the future would otherwise accumulate.
+    pub fn cancel(&mut self, key: TimerKey) {
+        self.waiting.remove(&key);
     }
 
-    /// When the next one is due.
-    pub fn next(&self) -> Option<Micros> {
+    /// When the next timer is due.
+    pub fn next_due(&self) -> Option<Micros> {
         self.waiting.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// The next one that is due by `now`.
+    /// Removes and returns the next timer that is due by `now`.
     pub fn take_due(&mut self, now: Micros) -> Option<Timer> {
-        self.next().filter(|at| *at <= now)?;
+        self.next_due().filter(|at| *at <= now)?;
         self.waiting.pop_first().map(|(_, timer)| timer)
     }
 }
--- a/crates/garnetdoor-gateway/src/wire/http.rs
+++ b/crates/garnetdoor-gateway/src/wire/http.rs
@@ -1,18 +1,19 @@
-//! HTTP/1.1 messages: heads by `httparse`, bodies by length, in chunks or up to the close.
+//! HTTP/1.1 messages. Heads are parsed by `httparse`; bodies are framed by a length, in chunks, or by the end
+//! of the connection.
 
 use httparse::Status;
 
-/// A body holds at most this much.
-pub const BODY_MOST: usize = 64 * 1024;
-/// And a head, up to its empty line.
-pub const HEAD_MOST: usize = 16 * 1024;
-/// What a connection may hold unread: a whole message and the frames of its chunks.
-pub const HELD_MOST: usize = 2 * (HEAD_MOST + BODY_MOST);
-const HEADERS_MOST: usize = 64;
-/// Interim answers that may come ahead of an answer.
-const INTERIM_MOST: usize = 16;
+/// Largest body that is accepted.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Largest head that is accepted, up to and including its empty line.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Bytes that a connection may hold unread: a whole message and the framing of its chunks.
+pub const MAX_UNREAD_BYTES: usize = 2 * (MAX_HEAD_BYTES + MAX_BODY_BYTES);
+const MAX_HEADERS: usize = 64;
+/// Interim answers (status 1xx) that may precede an answer.
+const MAX_INTERIM_ANSWERS: usize = 16;
 
-/// Why a message can't be read.
+/// Why a message can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     Malformed,
@@ -20,6 +21,7 @@
     BodyTooLarge,
 }
 
+/// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Length(usize),
@@ -27,34 +29,37 @@
     UntilClose,
 }
 
-/// The header lines that matter, with what framing they give.
-struct Fields {
-    pairs: Vec<(String, String)>,
+/// The header lines of a message, and what they say about its framing and its connection.
+struct Headers {
+    fields: Vec<(String, String)>,
     framing: Option<Framing>,
     close: bool,
-    keep: bool,
+    keep_alive: bool,
 }
 
-impl Fields {
-    /// Whether the connection may carry another message, by the HTTP/1 version and what was said.
-    fn keeps(&self, version: Option<u8>) -> bool {
-        !self.close && (version == Some(1) || self.keep)
+impl Headers {
+    /// Whether the connection may carry another message: by default in HTTP/1.1, on request in HTTP/1.0.
+    fn keeps_connection(&self, minor_version: Option<u8>) -> bool {
+        !self.close && (minor_version == Some(1) || self.keep_alive)
     }
 }
 
-fn fields(headers: &[httparse::Header]) -> Result<Fields, Fault> {
-    let mut read = Fields { pairs: Vec::new(), framing: None, close: false, keep: false };
-    for header in headers {
-        // Bytes that are no text in a header that does not matter here spoil no message.
-        let text = String::from_utf8_lossy(header.value);
-        let text = text.trim();
-        let name = header.name.to_ascii_lowercase();
+fn parse_headers(lines: &[httparse::Header]) -> Result<Headers, Fault> {
+    let mut headers = Headers { fields: Vec::new(), framing: None, close: false, keep_alive: false };
+    for line in lines {
+        // Invalid UTF-8 in a header that is not used here must not make the message unreadable.
+        let value = String::from_utf8_lossy(line.value);
+        let value = value.trim();
+        let name = line.name.to_ascii_lowercase();
         match name.as_str() {
             "content-length" => {
-                let plain = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-                let length =
-                    if plain { text.parse().unwrap_or(usize::MAX) } else { return Err(Fault::Malformed) };
-                if read
+                let is_number = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
+                let length = if is_number {
+                    value.parse().unwrap_or(usize::MAX)
+                } else {
+                    return Err(Fault::Malformed);
+                };
+                if headers
                     .framing
                     .replace(Framing::Length(length))
                     .is_some_and(|old| old != Framing::Length(length))
@@ -63,112 +68,122 @@
                 }
             }
             "transfer-encoding" => {
-                let known = text.eq_ignore_ascii_case("chunked");
-                if !known || read.framing.replace(Framing::Chunked).is_some() {
+                let is_chunked = value.eq_ignore_ascii_case("chunked");
+                if !is_chunked || headers.framing.replace(Framing::Chunked).is_some() {
                     return Err(Fault::Malformed);
                 }
             }
             "connection" => {
-                let says = |what| text.split(',').any(|part: &str| part.trim().eq_ignore_ascii_case(what));
-                read.close |= says("close");
-                read.keep |= says("keep-alive");
+                let has_option =
+                    |option| value.split(',').any(|part: &str| part.trim().eq_ignore_ascii_case(option));
+                headers.close |= has_option("close");
+                headers.keep_alive |= has_option("keep-alive");
             }
             _ => {}
         }
-        read.pairs.push((name, text.to_owned()));
+        headers.fields.push((name, value.to_owned()));
     }
-    Ok(read)
+    Ok(headers)
 }
 
-/// A message read whole.
+/// A completely read message.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Message {
-    /// Of a request.
+    /// Empty for an answer.
     pub method: String,
+    /// Empty for an answer.
     pub target: String,
-    /// Of an answer.
+    /// 0 for a request.
     pub status: u16,
     fields: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// The connection may carry another message.
-    pub keep: bool,
-    /// The HTTP/1 version, 1 for HTTP/1.1.
-    pub minor: u8,
+    /// Whether the connection may carry another message.
+    pub keep_alive: bool,
+    /// The minor version, 1 for HTTP/1.1; set for requests only.
+    pub minor_version: u8,
 }
 
 impl Message {
-    /// All header lines, by names in lower case.
+    /// All header lines as name and value, with names in lower case.
     pub fn fields(&self) -> &[(String, String)] {
         &self.fields
     }
 
-    /// The header of this name, written in lower case; `None` also where it stands more than once.
+    /// The value of a header, by its name in lower case; `None` also if the header occurs more than once.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut found = self.fields.iter().filter(|(field, _)| field == name);
         found.next().filter(|_| found.next().is_none()).map(|(_, value)| value.as_str())
     }
 }
 
-/// A message and the bytes that it takes; `None` while some are missing.
-pub type Read = Result<Option<(Message, usize)>, Fault>;
+/// A message and the number of bytes that it takes; `None` while it is incomplete.
+pub type ParseResult = Result<Option<(Message, usize)>, Fault>;
 
-fn head_fault(error: httparse::Error) -> Fault {
+fn fault_of(error: httparse::Error) -> Fault {
     if error == httparse::Error::TooManyHeaders { Fault::HeadTooLarge } else { Fault::Malformed }
 }
 
-/// How far the head of a message reaches; `None` while it is not whole.
+/// The length of a message's head in bytes; `None` while it is incomplete.
 fn head_length(status: Status<usize>, data: &[u8]) -> Result<Option<usize>, Fault> {
     match status {
-        Status::Complete(length) if length > HEAD_MOST => Err(Fault::HeadTooLarge),
+        Status::Complete(length) if length > MAX_HEAD_BYTES => Err(Fault::HeadTooLarge),
         Status::Complete(length) => Ok(Some(length)),
-        Status::Partial if data.len() > HEAD_MOST => Err(Fault::HeadTooLarge),
+        Status::Partial if data.len() > MAX_HEAD_BYTES => Err(Fault::HeadTooLarge),
         Status::Partial => Ok(None),
     }
 }
 
-/// Reads a request, head and body.
-pub fn request(data: &[u8]) -> Read {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
-    let mut head = httparse::Request::new(&mut headers);
-    let status = head.parse(data).map_err(head_fault)?;
+/// Parses a request, head and body.
+pub fn parse_request(data: &[u8]) -> ParseResult {
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut lines);
+    let status = head.parse(data).map_err(fault_of)?;
     let Some(length) = head_length(status, data)? else { return Ok(None) };
-    let found = fields(head.headers)?;
-    let Some((body, used)) = body(&data[length..], found.framing.unwrap_or(Framing::Length(0)), false)?
-    else {
+    let headers = parse_headers(head.headers)?;
+    let framing = headers.framing.unwrap_or(Framing::Length(0));
+    let Some((body, body_length)) = parse_body(&data[length..], framing, false)? else {
         return Ok(None);
     };
-    let keep = found.keeps(head.version);
+    let keep_alive = headers.keeps_connection(head.version);
     let text = |part: Option<&str>| part.unwrap_or_default().to_owned();
     let (method, target) = (text(head.method), text(head.path));
-    let minor = head.version.unwrap_or_default();
-    Ok(Some((Message { method, target, status: 0, fields: found.pairs, body, keep, minor }, length + used)))
+    let minor_version = head.version.unwrap_or_default();
+    let fields = headers.fields;
+    let message = Message { method, target, status: 0, fields, body, keep_alive, minor_version };
+    Ok(Some((message, length + body_length)))
 }
 
-/// Reads an answer; `ended` says that the connection has, so that what is here is all.
-pub fn answer(data: &[u8], ended: bool) -> Read {
-    let mut from = 0;
-    for _ in 0..=INTERIM_MOST {
-        let Some((mut message, framing, length)) = answer_head(&data[from..])? else { return Ok(None) };
-        from += length;
+/// Parses an answer, and skips interim answers before it. `ended` says that the connection has ended, so that
+/// no more bytes follow.
+pub fn parse_answer(data: &[u8], ended: bool) -> ParseResult {
+    let mut parsed = 0;
+    for _ in 0..=MAX_INTERIM_ANSWERS {
+        let Some((mut message, framing, length)) = parse_answer_head(&data[parsed..])? else {
+            return Ok(None);
+        };
+        parsed += length;
         if (100..200).contains(&message.status) {
             continue;
         }
-        message.keep &= framing != Framing::UntilClose;
-        let Some((body, used)) = body(&data[from..], framing, ended)? else { return Ok(None) };
+        message.keep_alive &= framing != Framing::UntilClose;
+        let Some((body, body_length)) = parse_body(&data[parsed..], framing, ended)? else {
+            return Ok(None);
+        };
         message.body = body;
-        return Ok(Some((message, from + used)));
+        return Ok(Some((message, parsed + body_length)));
     }
     Err(Fault::Malformed)
 }
 
-/// Reads the head of a 101, with what it takes; `None` while it is not whole, and for every other answer.
-pub fn switched(data: &[u8]) -> Read {
-    let mut from = 0;
-    for _ in 0..=INTERIM_MOST {
-        let Some((message, _, length)) = answer_head(&data[from..])? else { return Ok(None) };
-        from += length;
+/// Parses the head of a 101 (Switching Protocols) answer; `None` while it is incomplete, and for any other
+/// answer.
+pub fn parse_switching_protocols(data: &[u8]) -> ParseResult {
+    let mut parsed = 0;
+    for _ in 0..=MAX_INTERIM_ANSWERS {
+        let Some((message, _, length)) = parse_answer_head(&data[parsed..])? else { return Ok(None) };
+        parsed += length;
         match message.status {
-            101 => return Ok(Some((message, from))),
+            101 => return Ok(Some((message, parsed))),
             100..200 => {}
             _ => return Ok(None),
         }
@@ -176,101 +191,115 @@
     Ok(None)
 }
 
-/// The head with the load report's bytes made harmless, if there is a report. Guards against a good answer
-/// lost, and its ticket with it, for a report that can't be read.
-fn without_report(data: &[u8]) -> Option<Vec<u8>> {
+/// A copy of an answer's head with the value of its load report overwritten by `?`; `None` if there is no
+/// report. Without this, a load report that can't be parsed would make a good answer unreadable, and fail its
+/// request.
+fn head_without_load_report(data: &[u8]) -> Option<Vec<u8>> {
     let name = b"\r\nsrv-load:";
-    let at = data.windows(name.len()).position(|part| part.eq_ignore_ascii_case(name))? + name.len();
-    let length = data[at..].windows(2).position(|end| end == b"\r\n")?;
-    let end = data.windows(4).position(|end| end == b"\r\n\r\n").filter(|end| at <= *end)?;
-    let mut head = data[..end + 4].to_vec();
-    head[at..at + length].fill(b'?');
+    let start = data.windows(name.len()).position(|part| part.eq_ignore_ascii_case(name))? + name.len();
+    let length = data[start..].windows(2).position(|end| end == b"\r\n")?;
+    let head_end = data.windows(4).position(|end| end == b"\r\n\r\n").filter(|end| start <= *end)?;
+    let mut head = data[..head_end + 4].to_vec();
+    head[start..start + length].fill(b'?');
     Some(head)
 }
 
-fn answer_head(data: &[u8]) -> Result<Option<(Message, Framing, usize)>, Fault> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
-    let mut head = httparse::Response::new(&mut headers);
+/// The head of an answer, the framing of its body, and the head's length in bytes; `None` while it is
+/// incomplete.
+fn parse_answer_head(data: &[u8]) -> Result<Option<(Message, Framing, usize)>, Fault> {
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Response::new(&mut lines);
     let status = match head.parse(data) {
         Ok(status) => status,
-        Err(error) => match without_report(data) {
-            Some(head) if head != data[..head.len()] => return answer_head(&head),
-            _ => return Err(head_fault(error)),
+        Err(error) => match head_without_load_report(data) {
+            Some(head) if head != data[..head.len()] => return parse_answer_head(&head),
+            _ => return Err(fault_of(error)),
         },
     };
     let Some(length) = head_length(status, data)? else { return Ok(None) };
-    let found = fields(head.headers)?;
+    let headers = parse_headers(head.headers)?;
     let status = head.code.unwrap_or_default();
-    let bodiless = status < 200 || status == 204 || status == 304;
-    let framing = if bodiless { Framing::Length(0) } else { found.framing.unwrap_or(Framing::UntilClose) };
-    let keep = found.keeps(head.version);
-    Ok(Some((Message { status, fields: found.pairs, keep, ..Message::default() }, framing, length)))
+    let has_no_body = status < 200 || status == 204 || status == 304;
+    let framing =
+        if has_no_body { Framing::Length(0) } else { headers.framing.unwrap_or(Framing::UntilClose) };
+    let keep_alive = headers.keeps_connection(head.version);
+    let message = Message { status, fields: headers.fields, keep_alive, ..Message::default() };
+    Ok(Some((message, framing, length)))
 }
 
-/// The head of an answer in chunks whose end is not waited for: its status, and the bytes that it takes.
-fn stream_head(data: &[u8]) -> Result<Option<(u16, usize)>, Fault> {
-    Ok(match answer_head(data)? {
+/// The status and the length in bytes of a stream's head; `None` while it is incomplete. A stream with status
+/// 200 must be chunked.
+fn parse_stream_head(data: &[u8]) -> Result<Option<(u16, usize)>, Fault> {
+    Ok(match parse_answer_head(data)? {
         Some((message, framing, _)) if message.status == 200 && framing != Framing::Chunked => {
             return Err(Fault::Malformed);
         }
-        found => found.map(|(message, _, length)| (message.status, length)),
+        head => head.map(|(message, _, length)| (message.status, length)),
     })
 }
 
-fn body(data: &[u8], framing: Framing, ended: bool) -> Result<Option<(Vec<u8>, usize)>, Fault> {
+/// A body, and the number of bytes that it takes with its framing; `None` while it is incomplete.
+fn parse_body(data: &[u8], framing: Framing, ended: bool) -> Result<Option<(Vec<u8>, usize)>, Fault> {
     match framing {
-        Framing::Length(length) if length > BODY_MOST => Err(Fault::BodyTooLarge),
+        Framing::Length(length) if length > MAX_BODY_BYTES => Err(Fault::BodyTooLarge),
         Framing::Length(length) => Ok(data.get(..length).map(|body| (body.to_vec(), length))),
-        Framing::UntilClose if data.len() > BODY_MOST => Err(Fault::BodyTooLarge),
+        Framing::UntilClose if data.len() > MAX_BODY_BYTES => Err(Fault::BodyTooLarge),
         Framing::UntilClose => Ok(ended.then(|| (data.to_vec(), data.len()))),
-        Framing::Chunked => {
-            let (mut body, mut used) = (Vec::new(), 0);
-            while let Some((part, length)) = chunk(&data[used..])? {
-                used += length;
-                match part {
-                    None => return Ok(Some((body, used))),
-                    Some(part) if body.len() + part.len() > BODY_MOST => return Err(Fault::BodyTooLarge),
-                    Some(part) => body.extend_from_slice(part),
-                }
-            }
-            if data.len() > HELD_MOST { Err(Fault::BodyTooLarge) } else { Ok(None) }
+        Framing::Chunked => parse_chunked_body(data),
+    }
+}
+
+fn parse_chunked_body(data: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Fault> {
+    let (mut body, mut parsed) = (Vec::new(), 0);
+    while let Some((chunk, length)) = parse_chunk(&data[parsed..])? {
+        parsed += length;
+        match chunk {
+            Chunk::Last => return Ok(Some((body, parsed))),
+            Chunk::Data(part) if body.len() + part.len() > MAX_BODY_BYTES => return Err(Fault::BodyTooLarge),
+            Chunk::Data(part) => body.extend_from_slice(part),
         }
     }
+    if data.len() > MAX_UNREAD_BYTES { Err(Fault::BodyTooLarge) } else { Ok(None) }
 }
 
-/// A chunk and the bytes that it takes with its frame; the last one, trailers included, is no part.
-type Chunk<'a> = Option<(Option<&'a [u8]>, usize)>;
+/// One chunk of a body.
+enum Chunk<'a> {
+    Data(&'a [u8]),
+    /// The chunk of size 0, with the trailers after it.
+    Last,
+}
 
-/// Reads one chunk of a body.
-fn chunk(data: &[u8]) -> Result<Chunk<'_>, Fault> {
+/// Parses one chunk; returns it with the number of bytes that it takes with its framing, or `None` while it
+/// is incomplete.
+fn parse_chunk(data: &[u8]) -> Result<Option<(Chunk<'_>, usize)>, Fault> {
     let (start, size) = match httparse::parse_chunk_size(data).map_err(|_| Fault::Malformed)? {
-        Status::Complete(found) => found,
-        Status::Partial if data.len() > HEAD_MOST => return Err(Fault::Malformed),
+        Status::Complete(start_and_size) => start_and_size,
+        Status::Partial if data.len() > MAX_HEAD_BYTES => return Err(Fault::Malformed),
         Status::Partial => return Ok(None),
     };
     if size == 0 {
-        let mut at = start;
-        while let Some(end) = data[at..].windows(2).position(|pair| pair == b"\r\n") {
-            if end == 0 {
-                return Ok(Some((None, at + 2)));
+        let mut line_start = start;
+        while let Some(line_length) = data[line_start..].windows(2).position(|pair| pair == b"\r\n") {
+            if line_length == 0 {
+                return Ok(Some((Chunk::Last, line_start + 2)));
             }
-            at += end + 2;
+            line_start += line_length + 2;
         }
-        return if data.len() - start > HEAD_MOST { Err(Fault::HeadTooLarge) } else { Ok(None) };
+        return if data.len() - start > MAX_HEAD_BYTES { Err(Fault::HeadTooLarge) } else { Ok(None) };
     }
-    if size > HELD_MOST as u64 {
+    if size > MAX_UNREAD_BYTES as u64 {
         return Err(Fault::BodyTooLarge);
     }
     let end = start + size as usize;
     match data.get(end..end + 2) {
-        Some(b"\r\n") => Ok(Some((Some(&data[start..end]), end + 2))),
+        Some(b"\r\n") => Ok(Some((Chunk::Data(&data[start..end]), end + 2))),
         Some(_) => Err(Fault::Malformed),
         None => Ok(None),
     }
 }
 
-/// The phrase that goes with a status.
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of a status.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -286,52 +315,59 @@
     }
 }
 
-/// A value out of `name=value,name=value`.
-pub fn figure<'a>(text: &'a str, name: &str) -> Option<&'a str> {
-    let mut pairs = text.split(',').filter_map(|pair| pair.trim().split_once('='));
+/// The value of a name in a list of the form `name=value,name=value`.
+pub fn list_value<'a>(list: &'a str, name: &str) -> Option<&'a str> {
+    let mut pairs = list.split(',').filter_map(|pair| pair.trim().split_once('='));
     pairs.find(|(field, _)| *field == name).map(|(_, value)| value)
 }
 
-/// Writes an answer; `more` holds whole header lines.
-pub fn write_answer(status: u16, more: &str, body: &[u8], last: bool) -> Vec<u8> {
-    let last = if last { "Connection: close\r\n" } else { "" };
-    let (reason, length) = (reason(status), body.len());
-    let head = format!("HTTP/1.1 {status} {reason}\r\n{more}{last}Content-Length: {length}\r\n\r\n");
+/// Writes an answer. `extra_headers` holds whole header lines; `last` announces the end of the connection.
+pub fn write_answer(status: u16, extra_headers: &str, body: &[u8], last: bool) -> Vec<u8> {
+    let connection = if last { "Connection: close\r\n" } else { "" };
+    let (reason, length) = (reason_phrase(status), body.len());
+    let head =
+        format!("HTTP/1.1 {status} {reason}\r\n{extra_headers}{connection}Content-Length: {length}\r\n\r\n");
     [head.as_bytes(), body].concat()
 }
 
-/// An answer in chunks that goes on for as long as its connection.
+/// A chunked answer that goes on for as long as its connection.
 #[derive(Default)]
-pub struct Stream {
-    begun: bool,
-    /// What has come and is not taken yet.
+pub struct ChunkedStream {
+    /// Whether its head has been read.
+    started: bool,
+    /// Text that was received and is not taken yet.
     pub text: Vec<u8>,
 }
 
-/// What ends a stream.
+/// Why a stream ends.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StreamEnd {
+    /// It was answered with another status than 200.
     Refused,
-    Last,
+    /// Its last chunk has come.
+    LastChunk,
     Fault(Fault),
 }
 
-impl Stream {
-    /// Takes what is whole out of the data and returns how much that was.
+impl ChunkedStream {
+    /// Adds all complete chunks in the data to `text`, and returns how many bytes of the data were used.
     pub fn feed(&mut self, data: &[u8]) -> Result<usize, StreamEnd> {
         let mut used = 0;
-        if !self.begun {
-            match stream_head(data).map_err(StreamEnd::Fault)? {
+        if !self.started {
+            match parse_stream_head(data).map_err(StreamEnd::Fault)? {
                 None => return Ok(0),
                 Some((200, length)) => used = length,
                 Some(_) => return Err(StreamEnd::Refused),
             }
-            self.begun = true;
+            self.started = true;
         }
-        while let Some((part, length)) = chunk(&data[used..]).map_err(StreamEnd::Fault)? {
+        while let Some((chunk, length)) = parse_chunk(&data[used..]).map_err(StreamEnd::Fault)? {
             used += length;
-            self.text.extend_from_slice(part.ok_or(StreamEnd::Last)?);
-            if self.text.len() > HELD_MOST {
+            match chunk {
+                Chunk::Data(part) => self.text.extend_from_slice(part),
+                Chunk::Last => return Err(StreamEnd::LastChunk),
+            }
+            if self.text.len() > MAX_UNREAD_BYTES {
                 return Err(StreamEnd::Fault(Fault::BodyTooLarge));
             }
         }
--- a/crates/garnetdoor-gateway/src/wire/instance.rs
+++ b/crates/garnetdoor-gateway/src/wire/instance.rs
@@ -1,36 +1,40 @@
-//! What servers are sent, and how their answers end a trip.
+//! Requests to servers, and what their answers mean for an attempt.
 
 use std::net::SocketAddr;
 
 use garnetdoor::host::{Ending, Micros};
 
-use super::client::Request;
+use super::client::ForwardedRequest;
 use super::http::{self, Message};
 
-/// A ticket as a server gets it: method, target, id and body unchanged.
-pub fn trip(request: &Request, server: SocketAddr, left: Micros) -> Vec<u8> {
-    let Request { method, target, id, body, upgrade } = request;
-    let left = (left / 1_000).max(1);
+const MICROS_PER_MS: Micros = 1_000;
+
+/// A client's request as it is sent to a server, with method, target, id and body unchanged. `time_left` is
+/// the time that the server has to answer; it is sent in whole milliseconds, and at least one.
+pub fn attempt_request(request: &ForwardedRequest, server: SocketAddr, time_left: Micros) -> Vec<u8> {
+    let ForwardedRequest { method, target, id, body, upgrade } = request;
+    let deadline_ms = (time_left / MICROS_PER_MS).max(1);
     let length = if body.is_empty() && method == "GET" {
         String::new()
     } else {
         format!("Content-Length: {}\r\n", body.len())
     };
-    let upgrade = upgrade.as_ref().map(|upgrade| upgrade.offer.lines() + &upgrade.passed);
-    let more = upgrade.unwrap_or_default();
+    let upgrade_lines = upgrade.as_ref().map(|upgrade| upgrade.offer.lines() + &upgrade.passed_headers);
+    let upgrade_lines = upgrade_lines.unwrap_or_default();
     let head = format!(
         "{method} {target} HTTP/1.1\r\nHost: {server}\r\n\
-         Req-Id: {id}\r\nReq-Deadline-Ms: {left}\r\n{length}{more}\r\n"
+         Req-Id: {id}\r\nReq-Deadline-Ms: {deadline_ms}\r\n{length}{upgrade_lines}\r\n"
     );
     [head.as_bytes(), body].concat()
 }
 
-/// The call that only asks whether a server answers.
-pub fn probe(server: SocketAddr) -> Vec<u8> {
+/// The request that only checks whether a server answers.
+pub fn probe_request(server: SocketAddr) -> Vec<u8> {
     format!("GET /ping HTTP/1.1\r\nHost: {server}\r\n\r\n").into_bytes()
 }
 
-/// How an answer ends a trip. One with a status of its own says nothing of whether the ticket ran.
+/// How an answer ends an attempt. A status that the protocol does not define says nothing about whether the
+/// request was executed.
 pub fn ending(answer: &Message) -> Ending {
     match answer.status {
         200 => Ending::Finished,
@@ -39,8 +43,8 @@
     }
 }
 
-/// The load report, in the order of the settings' fields.
-pub fn load(answer: &Message, fields: &[String]) -> Vec<Option<f64>> {
+/// The values of the answer's load report, in the order of `fields`; empty if there is no report.
+pub fn load_report(answer: &Message, fields: &[String]) -> Vec<Option<f64>> {
     let Some(report) = answer.header("srv-load") else { return Vec::new() };
-    fields.iter().map(|field| http::figure(report, field)?.parse().ok()).collect()
+    fields.iter().map(|field| http::list_value(report, field)?.parse().ok()).collect()
 }
--- a/crates/garnetdoor-gateway/src/wire/mod.rs
+++ b/crates/garnetdoor-gateway/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! What is spoken: HTTP, and the calls of clients, servers, the list service, the platform and peers.
+//! Protocols and connections: HTTP, the messages of clients, servers, the list service and the platform, and
+//! the sockets that carry them.
 
 pub mod buffer;
 pub mod client;
--- a/crates/garnetdoor-gateway/src/wire/platform.rs
+++ b/crates/garnetdoor-gateway/src/wire/platform.rs
@@ -1,4 +1,5 @@
-//! The platform: votes as forms, answers in XML, and its stream of events.
+//! The platform that runs the roll-outs: votes are sent as forms and answered in XML; its state comes by a
+//! stream of events.
 
 use std::net::SocketAddr;
 
@@ -9,31 +10,36 @@
 
 use super::http::Message;
 
-/// The words for `Vote::ALL` and for `Phase::ALL`.
+/// The protocol's names for `Vote::ALL`, in the same order.
 const OPINIONS: [&str; 4] = ["abstain", "promote", "pause", "abort"];
+/// The protocol's names for `Phase::ALL`, in the same order.
 const PHASES: [&str; 4] = ["Progressing", "Aborting", "Healthy", "Aborted"];
 
-/// The call that casts a vote.
-pub fn vote(platform: SocketAddr, build: BuildNo, stage: StageNo, vote: Vote) -> Vec<u8> {
-    let opinion = Vote::ALL.iter().position(|other| *other == vote).map_or("", |number| OPINIONS[number]);
+/// Upper bound, in milliseconds, of the age of a state that is accepted.
+const STATE_AGE_LIMIT_MS: f64 = 9e12;
+const MICROS_PER_MS: f64 = 1_000.0;
+
+/// The request that casts a vote.
+pub fn vote_request(platform: SocketAddr, build: BuildNo, stage: StageNo, vote: Vote) -> Vec<u8> {
+    let opinion = Vote::ALL.iter().position(|other| *other == vote).map_or("", |index| OPINIONS[index]);
     let body = format!("Action=CastVote&image={}&ring={}&opinion={opinion}", build.0, stage.0);
-    let kind = "application/x-www-form-urlencoded";
+    let content_type = "application/x-www-form-urlencoded";
     let length = body.len();
-    let head = format!("POST / HTTP/1.1\r\nHost: {platform}\r\nContent-Type: {kind}\r\n");
+    let head = format!("POST / HTTP/1.1\r\nHost: {platform}\r\nContent-Type: {content_type}\r\n");
     format!("{head}Content-Length: {length}\r\n\r\n{body}").into_bytes()
 }
 
-/// The call for the stream of events.
-pub fn notices(platform: SocketAddr) -> Vec<u8> {
+/// The request for the stream of events.
+pub fn event_stream_request(platform: SocketAddr) -> Vec<u8> {
     format!("GET /notices HTTP/1.1\r\nHost: {platform}\r\nAccept: text/event-stream\r\n\r\n").into_bytes()
 }
 
-/// How a vote was taken, and the state told with it.
-pub fn taken(answer: &Message) -> (Taken, Option<News>) {
-    let Some(fields) = leaves(&answer.body) else { return (Taken::Unknown, None) };
+/// Reads the answer to a vote: how the platform took it, and the state that a counted vote is answered with.
+pub fn vote_result(answer: &Message) -> (Taken, Option<News>) {
+    let Some(fields) = leaf_elements(&answer.body) else { return (Taken::Unknown, None) };
     let field = |name: &str| fields.iter().find(|(field, _)| field == name).map(|(_, text)| text.as_str());
     match (answer.status, field("Code")) {
-        (200, None) => match news(field) {
+        (200, None) => match parse_news(field) {
             Some(news) => (Taken::Counted, Some(news)),
             None => (Taken::Unknown, None),
         },
@@ -44,73 +50,79 @@
     }
 }
 
-/// The innermost elements of a document with their texts; `None` where it is not well formed.
-fn leaves(text: &[u8]) -> Option<Vec<(String, String)>> {
-    let mut reader = Reader::from_str(str::from_utf8(text).ok()?);
-    let (mut found, mut inside, mut depth) = (Vec::new(), String::new(), 0);
+/// Names and texts of the innermost elements of an XML document; `None` if it is not well formed or has no
+/// such element.
+fn leaf_elements(document: &[u8]) -> Option<Vec<(String, String)>> {
+    let mut reader = Reader::from_str(str::from_utf8(document).ok()?);
+    let (mut elements, mut text, mut depth) = (Vec::new(), String::new(), 0);
     loop {
         match reader.read_event().ok()? {
             Event::Start(_) => {
                 depth += 1;
-                inside.clear();
+                text.clear();
             }
-            Event::Text(part) => inside.push_str(part.trim()),
+            Event::Text(part) => text.push_str(part.trim()),
             Event::End(end) => {
                 depth -= 1;
                 let name = end.name().as_ref().to_owned();
-                if !inside.is_empty() {
-                    found.push((name, std::mem::take(&mut inside)));
+                if !text.is_empty() {
+                    elements.push((name, std::mem::take(&mut text)));
                 }
             }
-            Event::Eof => return (depth == 0 && !found.is_empty()).then_some(found),
+            Event::Eof => return (depth == 0 && !elements.is_empty()).then_some(elements),
             _ => {}
         }
     }
 }
 
-/// The state of the newest build from its fields, whatever holds them.
-pub fn news<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Option<News> {
+/// Reads the state of the newest build from its fields, in whichever format they came; `None` if one is
+/// missing, unreadable or out of range.
+pub fn parse_news<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Option<News> {
     let phase = by_word(Phase::ALL, PHASES, field("progress")?)?;
     let cap: f64 = field("ceiling")?.parse().ok()?;
-    let lag: f64 = field("lag_ms")?.parse().ok()?;
+    let age_ms: f64 = field("lag_ms")?.parse().ok()?;
     Some(News {
         build: BuildNo(field("image")?.parse().ok()?),
         stage: StageNo(field("ring")?.parse().ok()?),
         phase,
         cap: (0.0..=1.0).contains(&cap).then_some(cap)?,
-        age: (0.0..9e12).contains(&lag).then_some((lag * 1_000.0) as Micros)?,
+        age: (0.0..STATE_AGE_LIMIT_MS).contains(&age_ms).then_some((age_ms * MICROS_PER_MS) as Micros)?,
     })
 }
 
-/// One thing told unasked.
-pub enum Notice {
+/// One event of the platform's stream.
+pub enum StreamEvent {
     News(News),
-    /// A sign of life.
-    Life,
-    /// Of a kind that is not known here.
-    Other(String),
-    /// What can't be read.
-    Noise(String),
+    /// A comment without content, sent to keep the stream alive.
+    KeepAlive,
+    /// An event of a kind that is not known here, with its text.
+    UnknownKind(String),
+    /// Text that can't be read as an event.
+    Unreadable(String),
 }
 
-/// Takes the whole events out of a stream's text, leaving what is not whole yet.
-pub fn told(text: &mut Vec<u8>) -> Vec<Notice> {
+/// Takes all complete events out of a stream's text and leaves the incomplete one at its end.
+pub fn take_events(text: &mut Vec<u8>) -> Vec<StreamEvent> {
     text.retain(|byte| *byte != b'\r');
-    let mut notices = Vec::new();
+    let mut events = Vec::new();
     while let Some(end) = text.windows(2).position(|pair| pair == b"\n\n") {
         let event = String::from_utf8_lossy(&text[..end]).into_owned();
         text.drain(..end + 2);
-        let part = |name: &str| event.lines().find_map(|line| line.strip_prefix(name)).map(str::trim);
-        let pairs: Vec<_> =
-            part("data:").unwrap_or_default().split('&').filter_map(|pair| pair.split_once('=')).collect();
-        let read = news(|name| pairs.iter().find(|(field, _)| *field == name).map(|(_, value)| *value));
-        let word = |name: &str| !name.is_empty() && name.bytes().all(|b| b.is_ascii_lowercase());
-        notices.push(match (part("event:"), read) {
-            (Some("news"), Some(news)) => Notice::News(news),
-            (None, _) if event.lines().all(|line| line.starts_with(':')) => Notice::Life,
-            (Some(name), _) if name != "news" && word(name) => Notice::Other(event),
-            _ => Notice::Noise(event),
-        });
+        events.push(parse_event(event));
+    }
+    events
+}
+
+fn parse_event(event: String) -> StreamEvent {
+    let line_after = |prefix: &str| event.lines().find_map(|line| line.strip_prefix(prefix)).map(str::trim);
+    let fields: Vec<_> =
+        line_after("data:").unwrap_or_default().split('&').filter_map(|pair| pair.split_once('=')).collect();
+    let news = parse_news(|name| fields.iter().find(|(field, _)| *field == name).map(|(_, value)| *value));
+    let is_kind = |name: &str| !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_lowercase());
+    match (line_after("event:"), news) {
+        (Some("news"), Some(news)) => StreamEvent::News(news),
+        (None, _) if event.lines().all(|line| line.starts_with(':')) => StreamEvent::KeepAlive,
+        (Some(kind), _) if kind != "news" && is_kind(kind) => StreamEvent::UnknownKind(event),
+        _ => StreamEvent::Unreadable(event),
     }
-    notices
 }
