--- a/crates/garnetdoor-gateway/src/wire/relay.rs
+++ b/crates/garnetdoor-gateway/src/wire/relay.rs
@@ -1,5 +1,5 @@
-//! A session's two connections joined: what one reads the other writes, checked on its way. Nothing of it
-//! passes through the reducer but what changes a session.
+//! The relay between a session's two connections: what is read from one is checked and written to the other.
+//! Only what changes the session's state is reported to the reducer.
 
 use std::cell::RefCell;
 use std::os::fd::AsRawFd;
@@ -14,226 +14,244 @@
 use nix::errno::Errno;
 use nix::sys::socket::{MsgFlags, recv};
 
-use super::socket::{self, Link};
+use super::socket::{self, Connection};
 use crate::clock::Clock;
-use crate::event::{Event, Join, Parting};
+use crate::event::{Event, SessionClose, SessionJoin};
 
-/// One read of a session takes at most this much, which is held if the other side takes nothing of it; and this
-/// much where all connections together hold enough already.
-const READ_MOST: usize = 128 * 1024;
-const READ_LEAST: usize = 2 * 1024;
+/// Largest single read of a session; this much is held if the other side takes none of it.
+const MAX_READ_BYTES: usize = 128 * 1024;
+/// Largest single read once all connections together hold as many bytes as they may.
+const MAX_READ_BYTES_AT_LIMIT: usize = 2 * 1024;
 
 thread_local! {
-    /// The worker's only one, made with the first session.
-    static READ: RefCell<Box<[u8]>> = RefCell::new(vec![0; READ_MOST].into_boxed_slice());
+    /// The worker's only read buffer for sessions, allocated with the first session.
+    static READ_BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; MAX_READ_BYTES].into_boxed_slice());
 }
 
-/// What goes from one side to the other.
-struct Way {
+/// One direction of a session, from the side that sends.
+struct Direction {
     flow: Flow,
-    /// The close frame that goes once the message under way is over.
-    ends: Option<Vec<u8>>,
-    /// A close frame has gone, or can't any more: nothing follows.
-    done: bool,
-    /// The side that sends has ended or is not heard any more: no message under way gets whole.
+    /// The close frame that is to be written once the current message is over.
+    pending_close: Option<Vec<u8>>,
+    /// A close frame was written, or can't be written any more: nothing follows.
+    finished: bool,
+    /// The sending side has ended or is not read any more: its current message will never be complete.
     cut_off: bool,
 }
 
 /// A session's connections.
 pub struct Relay {
     session: SessionId,
-    links: [Weak<Link>; 2],
+    /// By side.
+    connections: [Weak<Connection>; 2],
     /// By the side that sends.
-    ways: Mutex<[Way; 2]>,
-    heard: [AtomicI64; 2],
-    moved: AtomicI64,
+    directions: Mutex<[Direction; 2]>,
+    /// When bytes were last read from each side.
+    last_read: [AtomicI64; 2],
+    /// When data was last relayed, in either direction.
+    last_data: AtomicI64,
     clock: Clock,
     events: Sender<Event>,
 }
 
-/// What the coroutine of a connection does next.
+/// What a connection's coroutine is to do after a read for a session.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Next {
-    /// There may be more to read; others get their turn first.
-    More,
-    /// Wait until something can be read or written.
+pub enum PumpResult {
+    /// There may be more to read; other connections get their turn first.
+    MayHaveMore,
+    /// Wait until the connection is readable or writable.
     Wait,
     /// The connection has ended.
-    Over,
+    Ended,
 }
 
 impl Relay {
-    /// Joins two connections, if all that was read of them is in `join`; `None` else, and nothing has changed.
+    /// Joins two connections into a session, if everything that was read from them is in `join`; otherwise
+    /// nothing changes, and the result is `None`.
     pub fn join(
-        links: [&Arc<Link>; 2], join: &Join, clock: Clock, events: Sender<Event>,
+        connections: [&Arc<Connection>; 2], join: &SessionJoin, clock: Clock, events: Sender<Event>,
     ) -> Option<Arc<Self>> {
-        let way = |side| Way {
-            flow: Flow::new(side, join.compressed, join.message_most),
-            ends: None,
-            done: false,
+        let direction = |from| Direction {
+            flow: Flow::new(from, join.compressed, join.max_message_bytes),
+            pending_close: None,
+            finished: false,
             cut_off: false,
         };
         let now = clock.now();
         let relay = Arc::new(Relay {
             session: join.session,
-            links: links.map(Arc::downgrade),
-            ways: Mutex::new(Side::BOTH.map(way)),
-            heard: [now, now].map(AtomicI64::new),
-            moved: AtomicI64::new(now),
+            connections: connections.map(Arc::downgrade),
+            directions: Mutex::new(Side::BOTH.map(direction)),
+            last_read: [now, now].map(AtomicI64::new),
+            last_data: AtomicI64::new(now),
             clock,
             events,
         });
-        // Held until what was read before has gone on: the connections' coroutines may read more at once.
-        let mut ways = relay.ways();
-        let sizes = [join.first[0].len(), join.first[1].len()];
-        if !Link::relayed(links, sizes, &relay) {
+        // Locked until what was read before has been relayed: the connections' coroutines may read more at
+        // once.
+        let mut directions = relay.directions();
+        let unread_bytes = [join.already_read[0].len(), join.already_read[1].len()];
+        if !Connection::attach_relay(connections, unread_bytes, &relay) {
             return None;
         }
-        for side in Side::BOTH {
-            relay.pass(&mut ways, side, links[side.other() as usize], &join.first[side as usize]);
+        for from in Side::BOTH {
+            let to = connections[from.other() as usize];
+            relay.relay_bytes(&mut directions, from, to, &join.already_read[from as usize]);
         }
-        drop(ways);
+        drop(directions);
         Some(relay)
     }
 
-    fn ways(&self) -> MutexGuard<'_, [Way; 2]> {
-        self.ways.lock().unwrap_or_else(PoisonError::into_inner)
+    fn directions(&self) -> MutexGuard<'_, [Direction; 2]> {
+        self.directions.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads what is there on a side's connection and has it go on. Nothing is read while the other side has not
-    /// taken what was read before, so that no more than one read is held for it.
-    pub(super) fn pump(&self, side: Side, stream: &TcpStream) -> Next {
-        let Some(other) = self.links[side.other() as usize].upgrade() else { return Next::Wait };
-        let mut ways = self.ways();
-        if !ways[side as usize].done && other.is_stuck() {
-            return Next::Wait;
+    /// Reads what has arrived from a side, and relays it. Nothing is read until the other side has taken what
+    /// was read before, so that at most one read is held for it.
+    pub(super) fn pump(&self, from: Side, stream: &TcpStream) -> PumpResult {
+        let Some(to) = self.connections[from.other() as usize].upgrade() else { return PumpResult::Wait };
+        let mut directions = self.directions();
+        if !directions[from as usize].finished && to.is_stalled() {
+            return PumpResult::Wait;
         }
-        let most = if socket::holds_much() { READ_LEAST } else { READ_MOST };
-        READ.with_borrow_mut(|room| {
-            let room = &mut room[..most];
-            // Not blocking: the descriptor is `may`'s.
-            match recv(stream.inner().as_raw_fd(), room, MsgFlags::MSG_DONTWAIT) {
-                Ok(0) => Next::Over,
+        let max_bytes =
+            if socket::is_buffer_limit_reached() { MAX_READ_BYTES_AT_LIMIT } else { MAX_READ_BYTES };
+        READ_BUFFER.with_borrow_mut(|buffer| {
+            let buffer = &mut buffer[..max_bytes];
+            // Does not block: `may` has made the descriptor non-blocking.
+            match recv(stream.inner().as_raw_fd(), buffer, MsgFlags::MSG_DONTWAIT) {
+                Ok(0) => PumpResult::Ended,
                 Ok(count) => {
-                    self.heard[side as usize].store(self.clock.now(), Ordering::Relaxed);
-                    self.pass(&mut ways, side, &other, &room[..count]);
-                    Next::More
+                    self.last_read[from as usize].store(self.clock.now(), Ordering::Relaxed);
+                    self.relay_bytes(&mut directions, from, &to, &buffer[..count]);
+                    PumpResult::MayHaveMore
                 }
-                Err(Errno::EAGAIN) => Next::Wait,
-                Err(Errno::EINTR) => Next::More,
-                Err(_) => Next::Over,
+                Err(Errno::EAGAIN) => PumpResult::Wait,
+                Err(Errno::EINTR) => PumpResult::MayHaveMore,
+                Err(_) => PumpResult::Ended,
             }
         })
     }
 
-    /// Has bytes of a side go on to the other, as far as they are good.
-    fn pass(&self, ways: &mut [Way; 2], side: Side, to: &Link, bytes: &[u8]) {
-        let way = &mut ways[side as usize];
-        let fed = way.flow.feed(bytes);
-        if !way.done && (!fed.first.is_empty() || fed.upto > 0) {
-            to.pass(&fed.first, &bytes[..fed.upto], self.clock.now());
+    /// Checks bytes of one side, and writes to the other those that are valid.
+    fn relay_bytes(&self, directions: &mut [Direction; 2], from: Side, to: &Connection, bytes: &[u8]) {
+        let direction = &mut directions[from as usize];
+        let fed = direction.flow.feed(bytes);
+        if !direction.finished && (!fed.first.is_empty() || fed.upto > 0) {
+            to.relay_write(&fed.first, &bytes[..fed.upto], self.clock.now());
         }
         if fed.data {
-            self.moved.store(self.clock.now(), Ordering::Relaxed);
+            self.last_data.store(self.clock.now(), Ordering::Relaxed);
         }
         if fed.reached {
-            if let Some(frame) = way.ends.take().filter(|_| !way.done) {
-                to.pass(&frame, &[], self.clock.now());
+            if let Some(frame) = direction.pending_close.take().filter(|_| !direction.finished) {
+                to.relay_write(&frame, &[], self.clock.now());
             }
-            way.done = true;
+            direction.finished = true;
         }
         if let Some(code) = fed.close {
-            way.done = true;
-            self.tell(End::Close(side, code));
+            direction.finished = true;
+            self.report(End::Close(from, code));
         }
         if let Some(fault) = fed.fault {
-            way.cut_off = true;
-            self.tell(End::Fault(side, fault.code()));
+            direction.cut_off = true;
+            self.report(End::Fault(from, fault.code()));
         }
-        self.finish_if_done(ways);
+        self.shutdown_if_finished(directions);
     }
 
-    fn tell(&self, end: End) {
+    fn report(&self, end: End) {
         let _ = self.events.send(Event::Session(self.session, end));
     }
 
-    /// Once both sides have been told of the end, both sending sides end: what still comes is thrown away.
-    fn finish_if_done(&self, ways: &[Way; 2]) {
-        if ways.iter().all(|way| way.done) {
-            self.links.iter().filter_map(Weak::upgrade).for_each(|link| link.finish());
+    /// Shuts down both sending sides once both directions are finished; what still arrives is discarded.
+    fn shutdown_if_finished(&self, directions: &[Direction; 2]) {
+        if directions.iter().all(|direction| direction.finished) {
+            self.connections
+                .iter()
+                .filter_map(Weak::upgrade)
+                .for_each(|connection| connection.shutdown_write());
         }
     }
 
-    /// A side's connection has ended: of a message under way nothing more comes.
-    pub fn gone(&self, side: Side) {
-        self.ways()[side as usize].cut_off = true;
+    /// A side's connection has ended: its current message will never be complete.
+    pub fn connection_ended(&self, side: Side) {
+        self.directions()[side as usize].cut_off = true;
     }
 
-    /// Has both sides told, each at the end of the message under way towards it, or now if that gets no end.
-    pub fn part(&self, parting: &Parting) {
-        let mut ways = self.ways();
+    /// Closes the session in order: each side gets a close frame after the current message towards it, or now
+    /// if there is none or it can't be completed any more.
+    pub fn close(&self, close: &SessionClose) {
+        let mut directions = self.directions();
         for to in Side::BOTH {
-            let way = &mut ways[to.other() as usize];
-            if way.done {
+            let direction = &mut directions[to.other() as usize];
+            if direction.finished {
                 continue;
             }
-            let mask = (to == Side::Server).then_some(parting.mask);
-            let frame = frames::close(parting.codes[to as usize], &parting.reasons[to as usize], mask);
-            let link = self.links[to as usize].upgrade();
-            let now = way.flow.end();
-            if now || (way.cut_off && way.flow.at_frame_end()) {
-                link.iter().for_each(|link| link.pass(&frame, &[], self.clock.now()));
+            let mask = (to == Side::Server).then_some(close.mask);
+            let frame = frames::close(close.codes[to as usize], &close.reasons[to as usize], mask);
+            let connection = self.connections[to as usize].upgrade();
+            let is_between_messages = direction.flow.end();
+            if is_between_messages || (direction.cut_off && direction.flow.at_frame_end()) {
+                connection
+                    .iter()
+                    .for_each(|connection| connection.relay_write(&frame, &[], self.clock.now()));
             }
-            // Within a frame that gets no end there is no room for a close: the other side sees an orderly end.
-            way.done |= now || way.cut_off;
-            if way.cut_off {
-                way.flow.mute();
+            // Inside a frame that will never be complete no close frame can be written: the other side sees
+            // an orderly end of its connection.
+            direction.finished |= is_between_messages || direction.cut_off;
+            if direction.cut_off {
+                direction.flow.mute();
             }
-            if !way.done {
-                way.ends = Some(frame);
+            if !direction.finished {
+                direction.pending_close = Some(frame);
             }
         }
-        self.finish_if_done(&ways);
+        self.shutdown_if_finished(&directions);
     }
 
-    /// Ends the session now. The server's connection is closed; the client's is told, if a frame may go there, and
-    /// its sending side ends.
-    pub fn cut(&self, code: u16) {
-        let mut ways = self.ways();
-        let [_, way] = &mut *ways;
-        let [client, server] = self.links.each_ref().map(Weak::upgrade);
+    /// Ends the session now. The server's connection is closed. The client gets a close frame with this code,
+    /// unless a frame towards it is incomplete, and its sending side is shut down.
+    pub fn abort(&self, code: u16) {
+        let mut directions = self.directions();
+        let [_, to_client] = &mut *directions;
+        let [client, server] = self.connections.each_ref().map(Weak::upgrade);
         if let Some(client) = client {
-            if !way.done && way.flow.at_frame_end() {
-                client.pass(&frames::close(code, "", None), &[], self.clock.now());
+            if !to_client.finished && to_client.flow.at_frame_end() {
+                client.relay_write(&frames::close(code, "", None), &[], self.clock.now());
             }
-            client.unrelay();
-            client.finish();
+            client.detach_relay();
+            client.shutdown_write();
         }
-        ways.iter_mut().for_each(|way| way.done = true);
+        directions.iter_mut().for_each(|direction| direction.finished = true);
         server.iter().for_each(|server| server.close());
     }
 
-    /// Pings a side, where no frame is under way towards it.
+    /// Pings a side, unless a frame towards it is incomplete. `mask` is used if the side is the server.
     pub fn ping(&self, to: Side, mask: [u8; 4]) {
-        let ways = self.ways();
-        let way = &ways[to.other() as usize];
-        if !way.done && way.flow.at_frame_end() {
+        let directions = self.directions();
+        let direction = &directions[to.other() as usize];
+        if !direction.finished && direction.flow.at_frame_end() {
             let frame = frames::ping(b"", (to == Side::Server).then_some(mask));
-            self.links[to as usize]
+            self.connections[to as usize]
                 .upgrade()
                 .iter()
-                .for_each(|link| link.pass(&frame, &[], self.clock.now()));
+                .for_each(|connection| connection.relay_write(&frame, &[], self.clock.now()));
         }
     }
 
-    /// One side has taken all that waited for it: the other may be read again.
-    pub(super) fn drained(&self, side: Side) {
-        self.links[side.other() as usize].upgrade().iter().for_each(|link| link.wake());
+    /// A side has taken everything that was waiting for it: the other side may be read again.
+    pub(super) fn writes_completed(&self, side: Side) {
+        self.connections[side.other() as usize].upgrade().iter().for_each(|connection| connection.wake());
     }
 
-    pub fn glance(&self) -> Glance {
-        let heard = self.heard.each_ref().map(|at| at.load(Ordering::Relaxed));
-        let stuck = self.links.each_ref().map(|link| link.upgrade().and_then(|link| link.stuck()));
-        Glance { heard, stuck, moved: self.moved.load(Ordering::Relaxed) as Micros }
+    /// A sample of the session's activity.
+    pub fn sample(&self) -> Glance {
+        let heard = self.last_read.each_ref().map(|at| at.load(Ordering::Relaxed));
+        let stuck = self
+            .connections
+            .each_ref()
+            .map(|connection| connection.upgrade().and_then(|connection| connection.stalled_since()));
+        Glance { heard, stuck, moved: self.last_data.load(Ordering::Relaxed) as Micros }
     }
 }
--- a/crates/garnetdoor-gateway/src/wire/socket.rs
+++ b/crates/garnetdoor-gateway/src/wire/socket.rs
@@ -1,5 +1,6 @@
-//! Connections on `may`: one coroutine each, which only moves bytes. It reads until the reducer holds enough
-//! unread, writes what the reducer's thread could not write at once, and tells how the connection ended.
+//! Connections on `may`, with one coroutine each that only moves bytes. It reads until the reducer holds as
+//! many unread bytes as it may, writes what the reducer's thread could not write at once, and reports how the
+//! connection ended.
 
 use std::cell::RefCell;
 use std::io::{ErrorKind, IoSliceMut, Write};
@@ -19,198 +20,212 @@
 use nix::sys::socket::{ControlMessageOwned, MsgFlags, recv, recvmsg, setsockopt};
 use nix::sys::time::TimeSpec;
 
-use super::http::HELD_MOST;
-use super::relay::{Next, Relay};
+use super::http::MAX_UNREAD_BYTES;
+use super::relay::{PumpResult, Relay};
 use crate::clock::{self, Clock};
-use crate::event::{ConnId, Event};
+use crate::event::{ConnectionId, Event};
 
-/// One read takes at most this much; the worker's only copy of it is shared by its connections.
-const READ_MOST: usize = 16 * 1024;
+/// Largest single read. The worker has one buffer of this size, which its connections share.
+const MAX_READ_BYTES: usize = 16 * 1024;
 
-/// What a connection may hold unread though all together hold enough.
-const HELD_LEAST: usize = 4 * 1024;
+/// What a connection may hold unread even if all connections together have reached their limit.
+const MIN_UNREAD_BYTES: usize = 4 * 1024;
 
-/// Bytes that all connections hold unread, and how many they may before each gets little room.
-static HELD: AtomicUsize = AtomicUsize::new(0);
-static HELD_ALL: AtomicUsize = AtomicUsize::new(usize::MAX);
+/// Bytes that all connections together hold: read and not consumed, or waiting to be written to a session.
+static BUFFERED_BYTES: AtomicUsize = AtomicUsize::new(0);
+/// Above this many buffered bytes, each connection is limited to [`MIN_UNREAD_BYTES`].
+static BUFFERED_BYTES_LIMIT: AtomicUsize = AtomicUsize::new(usize::MAX);
 
 thread_local! {
-    static READ: RefCell<Box<[u8]>> = RefCell::new(vec![0; READ_MOST].into_boxed_slice());
+    static READ_BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; MAX_READ_BYTES].into_boxed_slice());
 }
 
+/// The sending side of a connection.
 #[derive(Default)]
-struct Out {
+struct Outgoing {
+    /// Bytes that are still to be written.
     bytes: Vec<u8>,
-    /// Something was written that the reducer has not been told of.
-    untold: bool,
-    /// Once all is written, the sending side ends.
-    last: bool,
-    /// It has ended.
-    shut: bool,
-    /// The session that it is one side of. Its reads and writes are the relay's then.
+    /// A write was requested whose completion has not been reported.
+    completion_unreported: bool,
+    /// The sending side is to be shut down once everything is written.
+    shutdown_requested: bool,
+    shut_down: bool,
+    /// The session that the connection is one side of. The relay then handles its reads and writes.
     relay: Option<(Arc<Relay>, Side)>,
-    /// Since when something of a session waits to be written, and how many bytes count as held for it.
-    stuck: Option<Micros>,
-    waits: usize,
+    /// Since when bytes of a session have been waiting to be written.
+    stalled_since: Option<Micros>,
+    /// How many of the waiting bytes of a session are counted in [`BUFFERED_BYTES`].
+    counted_bytes: usize,
 }
 
-/// A connection as the reducer's thread holds it.
-pub struct Link {
-    id: ConnId,
+/// A connection, shared by the reducer's thread and the connection's coroutine.
+pub struct Connection {
+    id: ConnectionId,
     stream: OnceLock<(TcpStream, WaitIoWaker)>,
-    out: Mutex<Out>,
+    outgoing: Mutex<Outgoing>,
     closed: AtomicBool,
-    /// Bytes read and not consumed yet.
+    /// Bytes that were read and are not consumed yet.
     unread: AtomicUsize,
 }
 
-impl Link {
-    pub fn new(id: ConnId) -> Arc<Self> {
-        let (stream, out, closed, unread) = Default::default();
-        Arc::new(Link { id, stream, out, closed, unread })
+impl Connection {
+    pub fn new(id: ConnectionId) -> Arc<Self> {
+        let (stream, outgoing, closed, unread) = Default::default();
+        Arc::new(Connection { id, stream, outgoing, closed, unread })
     }
 
-    fn out(&self) -> MutexGuard<'_, Out> {
-        self.out.lock().unwrap_or_else(PoisonError::into_inner)
+    fn outgoing(&self) -> MutexGuard<'_, Outgoing> {
+        self.outgoing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Wakes the connection's coroutine.
     pub(super) fn wake(&self) {
         if let Some((_, waker)) = self.stream.get() {
             waker.wakeup();
         }
     }
 
-    /// Writes as much as goes at once; the coroutine does the rest. True once all is written.
+    /// Writes as much as the socket takes at once; the coroutine writes the rest. True if everything has been
+    /// written.
     pub fn write(&self, bytes: &[u8]) -> bool {
-        self.put(self.out(), bytes)
+        self.enqueue(self.outgoing(), bytes)
     }
 
-    /// The same where nothing has come that is not consumed, not even an end; else `None`, and nothing is
-    /// written.
-    pub fn write_unused(&self, bytes: &[u8]) -> Option<bool> {
-        let out = self.out();
+    /// Like [`Connection::write`], but only if nothing has arrived that is not consumed, not even the
+    /// connection's end; otherwise nothing is written, and the result is `None`.
+    pub fn write_if_idle(&self, bytes: &[u8]) -> Option<bool> {
+        let outgoing = self.outgoing();
         let (stream, _) = self.stream.get()?;
-        let come = recv(stream.inner().as_raw_fd(), &mut [0], MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT);
-        let unused = self.unread.load(Ordering::Acquire) == 0 && come == Err(Errno::EAGAIN);
-        unused.then(|| self.put(out, bytes))
+        let arrived = recv(stream.inner().as_raw_fd(), &mut [0], MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT);
+        let is_idle = self.unread.load(Ordering::Acquire) == 0 && arrived == Err(Errno::EAGAIN);
+        is_idle.then(|| self.enqueue(outgoing, bytes))
     }
 
-    fn put(&self, mut out: MutexGuard<'_, Out>, bytes: &[u8]) -> bool {
-        out.bytes.extend_from_slice(bytes);
-        out.untold = true;
-        let done = self.push(&mut out);
-        drop(out);
-        if !done {
+    fn enqueue(&self, mut outgoing: MutexGuard<'_, Outgoing>, bytes: &[u8]) -> bool {
+        outgoing.bytes.extend_from_slice(bytes);
+        outgoing.completion_unreported = true;
+        let completed = self.flush(&mut outgoing);
+        drop(outgoing);
+        if !completed {
             self.wake();
         }
-        done
+        completed
     }
 
-    /// True if all is written just now. A failure shows when the coroutine reads.
-    fn push(&self, out: &mut Out) -> bool {
+    /// Writes what is waiting. True if this completed a write that has not been reported yet. A failure to
+    /// write is noticed when the coroutine reads.
+    fn flush(&self, outgoing: &mut Outgoing) -> bool {
         let Some((stream, _)) = self.stream.get() else { return false };
-        while !out.bytes.is_empty() {
-            match stream.inner().write(&out.bytes) {
+        while !outgoing.bytes.is_empty() {
+            match stream.inner().write(&outgoing.bytes) {
                 Ok(0) => return false,
-                Ok(count) => drop(out.bytes.drain(..count)),
+                Ok(count) => drop(outgoing.bytes.drain(..count)),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return false,
             }
         }
-        out.stuck = None;
-        HELD.fetch_sub(std::mem::take(&mut out.waits), Ordering::AcqRel);
-        if out.last && !std::mem::replace(&mut out.shut, true) {
+        outgoing.stalled_since = None;
+        BUFFERED_BYTES.fetch_sub(std::mem::take(&mut outgoing.counted_bytes), Ordering::AcqRel);
+        if outgoing.shutdown_requested && !std::mem::replace(&mut outgoing.shut_down, true) {
             let _ = stream.shutdown(Shutdown::Write);
         }
-        // Sessions stand idle for long: what they do not need they do not keep.
-        out.bytes.shrink_to(if out.relay.is_some() { 0 } else { READ_MOST });
-        std::mem::take(&mut out.untold)
+        // Sessions are idle for long times, so that their connections keep no buffer.
+        outgoing.bytes.shrink_to(if outgoing.relay.is_some() { 0 } else { MAX_READ_BYTES });
+        std::mem::take(&mut outgoing.completion_unreported)
     }
 
-    /// Makes two connections the sides of a session, if so many bytes and no more have been read of them and not
-    /// consumed; these count as consumed then.
-    pub(super) fn relayed(links: [&Arc<Link>; 2], sizes: [usize; 2], relay: &Arc<Relay>) -> bool {
-        let [mut client, mut server] = links.map(|link| link.out());
-        let seen = links.iter().zip(sizes).all(|(link, size)| link.unread.load(Ordering::Acquire) == size);
-        if !seen {
+    /// Attaches two connections to a session's relay, if exactly `unread_bytes` have been read from each and
+    /// not consumed. These bytes then count as consumed. False if more has been read; nothing has changed
+    /// then.
+    pub(super) fn attach_relay(
+        connections: [&Arc<Connection>; 2], unread_bytes: [usize; 2], relay: &Arc<Relay>,
+    ) -> bool {
+        let [mut client, mut server] = connections.map(|connection| connection.outgoing());
+        let nothing_more = connections
+            .iter()
+            .zip(unread_bytes)
+            .all(|(connection, count)| connection.unread.load(Ordering::Acquire) == count);
+        if !nothing_more {
             return false;
         }
         (client.relay, server.relay) =
             (Some((relay.clone(), Side::Client)), Some((relay.clone(), Side::Server)));
         drop((client, server));
-        for (link, size) in links.into_iter().zip(sizes) {
-            link.unread.fetch_sub(size, Ordering::AcqRel);
-            HELD.fetch_sub(size, Ordering::AcqRel);
-            link.wake();
+        for (connection, count) in connections.into_iter().zip(unread_bytes) {
+            connection.unread.fetch_sub(count, Ordering::AcqRel);
+            BUFFERED_BYTES.fetch_sub(count, Ordering::AcqRel);
+            connection.wake();
         }
         true
     }
 
-    /// It is no session's any more.
-    pub(super) fn unrelay(&self) {
-        self.out().relay = None;
+    /// Detaches the connection from its session's relay.
+    pub(super) fn detach_relay(&self) {
+        self.outgoing().relay = None;
     }
 
-    /// Writes a session's bytes, without a copy of what goes at once.
-    pub(super) fn pass(&self, first: &[u8], rest: &[u8], now: Micros) {
-        let mut out = self.out();
-        let waits = !out.bytes.is_empty();
+    /// Writes bytes of a session. What the socket takes at once is not copied.
+    pub(super) fn relay_write(&self, first: &[u8], rest: &[u8], now: Micros) {
+        let mut outgoing = self.outgoing();
+        let was_waiting = !outgoing.bytes.is_empty();
         for part in [first, rest] {
             let mut part = part;
-            if out.bytes.is_empty()
+            if outgoing.bytes.is_empty()
                 && let Some((stream, _)) = self.stream.get()
             {
                 while !part.is_empty() {
                     match stream.inner().write(part) {
                         Ok(count) if count > 0 => part = &part[count..],
                         Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                        // The rest waits; a failure shows when the coroutine reads.
+                        // The rest waits; a failure is noticed when the coroutine reads.
                         Ok(_) | Err(_) => break,
                     }
                 }
             }
-            out.bytes.extend_from_slice(part);
+            outgoing.bytes.extend_from_slice(part);
         }
-        HELD.fetch_add(out.bytes.len() - out.waits, Ordering::AcqRel);
-        out.waits = out.bytes.len();
-        if !waits && !out.bytes.is_empty() {
-            (out.stuck, out.untold) = (Some(now), true);
-            drop(out);
+        BUFFERED_BYTES.fetch_add(outgoing.bytes.len() - outgoing.counted_bytes, Ordering::AcqRel);
+        outgoing.counted_bytes = outgoing.bytes.len();
+        if !was_waiting && !outgoing.bytes.is_empty() {
+            (outgoing.stalled_since, outgoing.completion_unreported) = (Some(now), true);
+            drop(outgoing);
             self.wake();
         }
     }
 
-    /// Whether something waits to be written.
-    pub(super) fn is_stuck(&self) -> bool {
-        !self.out().bytes.is_empty()
+    /// Whether bytes are waiting to be written.
+    pub(super) fn is_stalled(&self) -> bool {
+        !self.outgoing().bytes.is_empty()
     }
 
-    /// Since when something of a session has waited to be written.
-    pub(super) fn stuck(&self) -> Option<Micros> {
-        self.out().stuck
+    /// Since when bytes of a session have been waiting to be written.
+    pub(super) fn stalled_since(&self) -> Option<Micros> {
+        self.outgoing().stalled_since
     }
 
-    /// Ends the sending side once all is written; the coroutine tells of what it still writes.
-    pub fn finish(&self) {
-        self.out().last = true;
+    /// Shuts down the sending side once everything is written; the coroutine reports what it still writes.
+    pub fn shutdown_write(&self) {
+        self.outgoing().shutdown_requested = true;
         self.wake();
     }
 
-    /// Ends the connection if nothing has been read that is not consumed. What comes from now on stays
-    /// unread, so that the other side is told by a reset.
-    pub fn close_unused(&self) -> bool {
-        let held = self.out();
-        let unused = self.unread.load(Ordering::Acquire) == 0;
-        if unused {
+    /// Closes the connection if nothing has been read that is not consumed; returns whether it did. What
+    /// arrives from now on stays unread, so that the kernel resets the connection and the peer notices that
+    /// it was not read.
+    pub fn close_if_idle(&self) -> bool {
+        // The lock keeps the coroutine from reading meanwhile.
+        let outgoing = self.outgoing();
+        let is_idle = self.unread.load(Ordering::Acquire) == 0;
+        if is_idle {
             self.closed.store(true, Ordering::Release);
         }
-        drop(held);
-        // No shutdown: an orderly end that goes ahead of the reset would hide it.
+        drop(outgoing);
+        // No shutdown here: an orderly end ahead of the reset would hide the reset from the peer.
         self.wake();
-        unused
+        is_idle
     }
 
-    /// Ends the connection at once, whatever its coroutine waits for.
+    /// Closes the connection at once, whatever its coroutine waits for.
     pub fn close(&self) {
         self.closed.store(true, Ordering::Release);
         if let Some((stream, _)) = self.stream.get() {
@@ -219,62 +234,62 @@
         self.wake();
     }
 
-    /// So many bytes of it are held no longer; it may read on.
+    /// Marks bytes that were read as consumed, so that the connection may read more.
     pub fn consumed(&self, count: usize) {
-        let before = self.unread.fetch_sub(count, Ordering::AcqRel);
-        HELD.fetch_sub(count, Ordering::AcqRel);
-        if before >= HELD_LEAST {
+        let unread_before = self.unread.fetch_sub(count, Ordering::AcqRel);
+        BUFFERED_BYTES.fetch_sub(count, Ordering::AcqRel);
+        if unread_before >= MIN_UNREAD_BYTES {
             self.wake();
         }
     }
 
-    /// Reads what is there, unless enough is held or the connection has been closed. Guards against many
-    /// connections that each hold a little less than one may: beyond what all may hold together, each gets
-    /// room for a small message only.
+    /// Reads what has arrived, and for how long it has waited; `None` if the connection holds as much as it
+    /// may, was closed, or is a session's. Above the limit for all connections together, each has room for a
+    /// small message only: otherwise, many connections could each hold slightly less than the limit of one.
     fn read(&self, stream: &TcpStream) -> nix::Result<Option<(Vec<u8>, Micros)>> {
-        let held = self.out();
-        if held.relay.is_some() {
-            // Joined just now: what is there is the session's.
+        let outgoing = self.outgoing();
+        if outgoing.relay.is_some() {
+            // Joined since the coroutine last looked: what has arrived belongs to the session.
             return Ok(None);
         }
-        let all = HELD.load(Ordering::Acquire);
-        let most = if all < HELD_ALL.load(Ordering::Acquire) { HELD_MOST } else { HELD_LEAST };
-        let room = most.saturating_sub(self.unread.load(Ordering::Acquire)).min(READ_MOST);
+        let limit = if is_buffer_limit_reached() { MIN_UNREAD_BYTES } else { MAX_UNREAD_BYTES };
+        let room = limit.saturating_sub(self.unread.load(Ordering::Acquire)).min(MAX_READ_BYTES);
         if self.closed.load(Ordering::Acquire) || room == 0 {
             return Ok(None);
         }
-        let read = READ.with_borrow_mut(|all| read(stream, &mut all[..room]))?;
+        let read = READ_BUFFER.with_borrow_mut(|buffer| receive(stream, &mut buffer[..room]))?;
         self.unread.fetch_add(read.0.len(), Ordering::AcqRel);
-        HELD.fetch_add(read.0.len(), Ordering::AcqRel);
+        BUFFERED_BYTES.fetch_add(read.0.len(), Ordering::AcqRel);
         Ok(Some(read))
     }
 
-    /// Throws away what is there once the last answer is on its way. Guards against a client that sends far
-    /// more than it was let: unread, it would hold up its own reading of the answer. False once it has ended.
+    /// Discards what has arrived after the last answer was written. A client that sends far more than it may
+    /// would otherwise be blocked in its sending, and never read the answer. False once the connection has
+    /// ended.
     fn discard(&self, stream: &TcpStream) -> nix::Result<bool> {
         let fd = stream.inner().as_raw_fd();
-        READ.with_borrow_mut(|room| recv(fd, room, MsgFlags::MSG_TRUNC)).map(|count| count > 0)
+        READ_BUFFER.with_borrow_mut(|buffer| recv(fd, buffer, MsgFlags::MSG_TRUNC)).map(|count| count > 0)
     }
 
-    /// Runs in a coroutine of its own until the connection ends.
+    /// The connection's coroutine: runs until the connection ends.
     fn run(&self, stream: TcpStream, clock: Clock, events: &Sender<Event>) {
-        // Answers and trips are small, and each waits for the other side.
+        // Messages are small, and their sender waits for the answer: Nagle's algorithm would only delay them.
         let _ = stream.set_nodelay(true);
         let waker = stream.waker();
         let (stream, _) = self.stream.get_or_init(|| (stream, waker));
-        let _ = events.send(Event::Up(self.id));
+        let _ = events.send(Event::Connected(self.id));
         while !self.closed.load(Ordering::Acquire) {
-            let mut out = self.out();
-            let (written, last) = (self.push(&mut out), out.last);
-            let relay = out.relay.clone();
-            drop(out);
+            let mut outgoing = self.outgoing();
+            let (written, is_last) = (self.flush(&mut outgoing), outgoing.shutdown_requested);
+            let relay = outgoing.relay.clone();
+            drop(outgoing);
             if written {
                 match &relay {
-                    Some((relay, side)) => relay.drained(*side),
+                    Some((relay, side)) => relay.writes_completed(*side),
                     None => drop(events.send(Event::Written(self.id))),
                 }
             }
-            if last {
+            if is_last {
                 match self.discard(stream) {
                     Ok(true) => may::coroutine::yield_now(),
                     Err(Errno::EINTR) => {}
@@ -285,19 +300,19 @@
             }
             if let Some((relay, side)) = relay {
                 match relay.pump(side, stream) {
-                    Next::More => may::coroutine::yield_now(),
-                    Next::Wait => drop(stream.wait_io()),
-                    Next::Over => break,
+                    PumpResult::MayHaveMore => may::coroutine::yield_now(),
+                    PumpResult::Wait => drop(stream.wait_io()),
+                    PumpResult::Ended => break,
                 }
                 continue;
             }
             match self.read(stream) {
                 Ok(Some((bytes, _))) if bytes.is_empty() => break,
                 Ok(Some((bytes, waited))) => {
-                    let full = bytes.len() == READ_MOST;
-                    let _ = events.send(Event::Bytes(self.id, clock.now() - waited, bytes));
-                    if full {
-                        // One that sends as fast as it is read leaves the others their turn.
+                    let is_full_read = bytes.len() == MAX_READ_BYTES;
+                    let _ = events.send(Event::Received(self.id, clock.now() - waited, bytes));
+                    if is_full_read {
+                        // A connection that sends as fast as it is read must not starve the others.
                         may::coroutine::yield_now();
                     }
                     continue;
@@ -308,69 +323,73 @@
             }
             stream.wait_io();
         }
-        let relay = self.out().relay.take();
+        let relay = self.outgoing().relay.take();
         if let Some((relay, side)) = relay {
-            relay.gone(side);
+            relay.connection_ended(side);
         }
-        let _ = events.send(Event::Ended(self.id));
+        let _ = events.send(Event::Closed(self.id));
     }
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
-        let held = self.unread.load(Ordering::Acquire) + self.out().waits;
-        HELD.fetch_sub(held, Ordering::AcqRel);
+        let buffered = self.unread.load(Ordering::Acquire) + self.outgoing().counted_bytes;
+        BUFFERED_BYTES.fetch_sub(buffered, Ordering::AcqRel);
     }
 }
 
-/// Whether all connections together hold as much as they may.
-pub(super) fn holds_much() -> bool {
-    HELD.load(Ordering::Acquire) >= HELD_ALL.load(Ordering::Acquire)
+/// Whether all connections together hold as many bytes as they may.
+pub(super) fn is_buffer_limit_reached() -> bool {
+    BUFFERED_BYTES.load(Ordering::Acquire) >= BUFFERED_BYTES_LIMIT.load(Ordering::Acquire)
 }
 
-/// Bounds what all connections together may hold unread.
-pub fn hold_at_most(bytes: usize) {
-    HELD_ALL.store(bytes, Ordering::Release);
+/// Limits the bytes that all connections together hold.
+pub fn set_buffer_limit(bytes: usize) {
+    BUFFERED_BYTES_LIMIT.store(bytes, Ordering::Release);
 }
 
-/// Reads what is there, and for how long it has been there: the kernel stamps what comes, so that a ticket
-/// which came while the process stood still is known to be old. Both times are of the same clock, so that a
-/// step of it can't make everything look old for long.
-fn read(stream: &TcpStream, room: &mut [u8]) -> nix::Result<(Vec<u8>, Micros)> {
-    let mut stamps = nix::cmsg_space!(TimeSpec);
-    let mut parts = [IoSliceMut::new(room)];
+/// Reads what has arrived, and for how long it has waited by the kernel's receive timestamp. A request that
+/// arrived while the process was stopped is thereby known to be old. Both times are of the system clock, so
+/// that a step of that clock makes requests look old for a short time only.
+fn receive(stream: &TcpStream, buffer: &mut [u8]) -> nix::Result<(Vec<u8>, Micros)> {
+    let mut control = nix::cmsg_space!(TimeSpec);
+    let mut parts = [IoSliceMut::new(buffer)];
     let fd = stream.inner().as_raw_fd();
-    let message = recvmsg::<()>(fd, &mut parts, Some(&mut stamps), MsgFlags::empty())?;
-    let stamp = message.cmsgs()?.find_map(|stamp| match stamp {
+    let message = recvmsg::<()>(fd, &mut parts, Some(&mut control), MsgFlags::empty())?;
+    let arrived_at = message.cmsgs()?.find_map(|control| match control {
         ControlMessageOwned::ScmTimestampns(at) => Some(Duration::from(at)),
         _ => None,
     });
     let count = message.bytes;
-    let waited = stamp.and_then(|stamp| clock::unix().checked_sub(stamp)).unwrap_or_default();
-    Ok((room[..count].to_vec(), waited.as_micros() as Micros))
+    let waited = arrived_at.and_then(|at| clock::unix_time().checked_sub(at)).unwrap_or_default();
+    Ok((buffer[..count].to_vec(), waited.as_micros() as Micros))
 }
 
-/// Has the kernel stamp what comes on a socket, or on what a listener takes from now on.
-pub fn stamp(socket: &impl AsFd) {
+/// Has the kernel timestamp what arrives on a socket, or on the connections that a listener accepts from now
+/// on.
+pub fn enable_receive_timestamps(socket: &impl AsFd) {
     let _ = setsockopt(socket, ReceiveTimestampns, &true);
 }
 
-/// Lets a connection run that a client has made.
-pub fn accepted(link: Arc<Link>, stream: TcpStream, clock: Clock, events: Sender<Event>) {
-    // SAFETY: `may` asks that no coroutine that uses thread-local storage moves between threads while it
-    // does, and that stacks suffice: the read buffer is borrowed within one read, with no wait inside, there
-    // is one worker, and the coroutine calls nothing deep.
-    unsafe { may::coroutine::spawn(move || link.run(stream, clock, &events)) };
+/// Starts the coroutine of a connection that a client has opened.
+pub fn run_accepted(connection: Arc<Connection>, stream: TcpStream, clock: Clock, events: Sender<Event>) {
+    // SAFETY: `may` requires that a coroutine does not move between threads while it uses thread-local
+    // storage, and that its stack suffices. The read buffer is borrowed within one read, with no wait inside;
+    // there is one worker; and the coroutine makes no deep calls.
+    unsafe { may::coroutine::spawn(move || connection.run(stream, clock, &events)) };
 }
 
-/// Makes a connection and lets it run. One that was closed meanwhile ends as soon as it is up.
-pub fn dial(link: Arc<Link>, to: SocketAddr, within: Duration, clock: Clock, events: Sender<Event>) {
-    // SAFETY: as above.
+/// Connects to an address within a time, and runs the connection. One that was closed meanwhile ends as soon
+/// as it is established.
+pub fn dial(
+    connection: Arc<Connection>, address: SocketAddr, timeout: Duration, clock: Clock, events: Sender<Event>,
+) {
+    // SAFETY: as for `run_accepted`.
     unsafe {
-        may::coroutine::spawn(move || match TcpStream::connect_timeout(&to, within) {
-            Ok(stream) => link.run(stream, clock, &events),
+        may::coroutine::spawn(move || match TcpStream::connect_timeout(&address, timeout) {
+            Ok(stream) => connection.run(stream, clock, &events),
             Err(_) => {
-                let _ = events.send(Event::Ended(link.id));
+                let _ = events.send(Event::Closed(connection.id));
             }
         })
     };
--- a/crates/playhouse/src/listen.rs
+++ b/crates/playhouse/src/listen.rs
@@ -23,7 +23,7 @@
 
 /// The same, where another process may hold the address for a moment longer: tried again for a while.
 pub fn bind_when_free(at: SocketAddrV4, backlog: i32) -> std::io::Result<TcpListener> {
-    garnetdoor_bind::when_free(at, || bind(at, backlog), |error| log::warn!("{error}; tried again"))
+    garnetdoor_bind::bind_with_retry(at, || bind(at, backlog), |error| log::warn!("{error}; tried again"))
 }
 
 /// What can't be accepted now (descriptors at their end) is tried again after a while, without spinning.
--- a/crates/wings/src/post.rs
+++ b/crates/wings/src/post.rs
@@ -78,10 +78,10 @@
     pub fn bind(own: Ipv4Addr, port: u16, limits: PostLimits) -> io::Result<(Self, Incoming)> {
         let at = SocketAddrV4::new(own, port);
         let waits = |error: &io::Error| log::warn!("{error}; tried again");
-        let socket = garnetdoor_bind::when_free(at, || std::net::UdpSocket::bind(at), waits)?;
+        let socket = garnetdoor_bind::bind_with_retry(at, || std::net::UdpSocket::bind(at), waits)?;
         socket.set_nonblocking(true)?;
         let socket = Rc::new(UdpSocket::from_std(socket)?);
-        let listener = garnetdoor_bind::when_free(at, || listen(at), waits)?;
+        let listener = garnetdoor_bind::bind_with_retry(at, || listen(at), waits)?;
         let (arrived, receiver) = mpsc::channel(limits.arrived);
         let counters = Rc::new(Counters::default());
         let datagrams =
