--- a/crates/garnetdoor-gateway/src/config.rs
+++ b/crates/garnetdoor-gateway/src/config.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use garnetdoor::host::{News, Settings};
+use garnetdoor::host::{RolloutStatus, Settings};
 use serde_json::Value;
 
 use crate::wire::platform;
@@ -52,7 +52,7 @@
     /// The server list that the gateway starts with, in the list service's format.
     pub initial_list: Option<Value>,
     /// The state of the newest release that the gateway starts with.
-    pub initial_news: Option<News>,
+    pub initial_rollout_status: Option<RolloutStatus>,
     /// Log lines about values of the file that a variable overrides.
     pub overrides: Vec<String>,
 }
@@ -158,7 +158,8 @@
     let peers =
         source.optional("peers", "a list of addresses and ports", parse_addresses).unwrap_or_default();
     let peer_broadcast = source.optional("peers_all", ADDRESS_EXPECTED, parse_address);
-    let initial_news = source.optional("rollouts.news", "the state of the newest build", parse_news);
+    let initial_rollout_status =
+        source.optional("rollouts.news", "the state of the newest build", parse_rollout_status);
     let initial_list = source.optional("known", "a list as the list service gives it", |value| {
         value["targets"].is_array().then(|| value.clone())
     });
@@ -198,7 +199,7 @@
                 memory_mb,
                 settings,
                 initial_list,
-                initial_news,
+                initial_rollout_status,
                 overrides,
             })
         }
@@ -229,17 +230,19 @@
     }
 }
 
-fn parse_news(value: &Value) -> Option<News> {
+fn parse_rollout_status(value: &Value) -> Option<RolloutStatus> {
     let fields = value.as_object()?;
     let texts: Vec<(&str, String)> =
         fields.iter().map(|(name, value)| (name.as_str(), setting_text(value))).collect();
-    platform::parse_news(|name| texts.iter().find(|(field, _)| *field == name).map(|(_, text)| text.as_str()))
+    platform::parse_rollout_status(|name| {
+        texts.iter().find(|(field, _)| *field == name).map(|(_, text)| text.as_str())
+    })
 }
 
 /// A value that is no object or list, as text for the settings.
 fn setting_text(value: &Value) -> String {
     match value {
-        Value::String(text) => Settings::plain(text),
+        Value::String(text) => Settings::sanitize(text),
         other => other.to_string(),
     }
 }
--- a/crates/garnetdoor-gateway/src/state/connections.rs
+++ b/crates/garnetdoor-gateway/src/state/connections.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use garnetdoor::host::{Micros, ServerId, TicketId, TripNo};
+use garnetdoor::host::{AttemptNo, Micros, RequestId, ServerId};
 
 use super::gateway_state::{CLIENT_MESSAGE_TIMEOUT, GatewayState, MS, SECOND};
 use super::servers::ServerProcess;
@@ -25,7 +25,7 @@
 /// What a connection to a server is used for at present.
 #[derive(Clone, Copy)]
 pub enum ServerCall {
-    Attempt(TicketId, TripNo),
+    Attempt(RequestId, AttemptNo),
     /// A probe, and when it was sent.
     Probe(Micros),
 }
@@ -34,7 +34,7 @@
 pub enum ConnectionKind {
     Client {
         /// Its open request.
-        request: Option<TicketId>,
+        request: Option<RequestId>,
         /// Its last message has been read; anything further is discarded.
         last: bool,
         /// There are too many clients: its request is rejected without a decision.
--- a/crates/garnetdoor-gateway/src/state/gateway_state.rs
+++ b/crates/garnetdoor-gateway/src/state/gateway_state.rs
@@ -4,8 +4,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use garnetdoor::host::{Ending, GatewayId, Micros, Refusal, ServerId, Taken, TicketId, TripNo};
-use garnetdoor::names::Names;
+use garnetdoor::host::{
+    AttemptNo, AttemptOutcome, GatewayId, Micros, Refusal, RequestId, ServerId, VoteResult,
+};
+use garnetdoor::names::NameTable;
 
 use super::connections::{ConnectionKind, ConnectionState};
 use super::refusals::{Cause, Refusals, SUMMARY_INTERVAL};
@@ -55,13 +57,13 @@
 const DEFAULT_SERVER_IDLE_CLOSE: Micros = 10 * SECOND;
 const DEFAULT_VOTE_TIMEOUT: Micros = 2 * SECOND;
 
-/// Something that the decisions have not been told yet.
-pub enum Outcome {
+/// A report to the decisions that is not delivered yet.
+pub enum Report {
     /// An attempt has ended; with the load that its server reported.
-    Attempt(TicketId, TripNo, Ending, Vec<Option<f64>>),
+    Attempt(RequestId, AttemptNo, AttemptOutcome, Vec<Option<f64>>),
     /// A probe has ended after this time; with the load that its server reported.
-    Probe(ServerId, Ending, Micros, Vec<Option<f64>>),
-    Vote(Taken),
+    Probe(ServerId, AttemptOutcome, Micros, Vec<Option<f64>>),
+    Vote(VoteResult),
     ListFailed,
 }
 
@@ -69,10 +71,10 @@
 pub struct GatewayState {
     pub now: Micros,
     pub effects: Vec<Effect>,
-    pub outcomes: VecDeque<Outcome>,
+    pub pending_reports: VecDeque<Report>,
     pub timers: Timers,
     pub connections: BTreeMap<ConnectionId, ConnectionState>,
-    pub requests: BTreeMap<TicketId, OpenRequest>,
+    pub requests: BTreeMap<RequestId, OpenRequest>,
     pub servers: BTreeMap<ServerId, ListedServer>,
     pub profiles: Profiles,
     pub known_names: KnownNames,
@@ -83,7 +85,7 @@
     pub stopping: bool,
     pub listening: bool,
     pub max_open_requests: usize,
-    pub(super) server_names: Names,
+    pub(super) server_names: NameTable,
     pub(super) refusals: Refusals,
     /// The version of the list that was applied last.
     pub(super) list_version: u64,
@@ -135,7 +137,7 @@
         GatewayState {
             now,
             effects: Vec::new(),
-            outcomes: VecDeque::new(),
+            pending_reports: VecDeque::new(),
             timers: Timers::default(),
             connections: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -147,7 +149,7 @@
             stopping: false,
             listening: true,
             max_open_requests: limit("policy_limits.max_open"),
-            server_names: Names::default(),
+            server_names: NameTable::default(),
             refusals: Refusals::default(),
             list_version: 0,
             follows_list: false,
@@ -212,8 +214,8 @@
     // ---- clients and requests ----
 
     /// Adds a request under a new number.
-    pub fn add_request(&mut self, request: OpenRequest) -> TicketId {
-        let id = TicketId(self.next_request);
+    pub fn add_request(&mut self, request: OpenRequest) -> RequestId {
+        let id = RequestId(self.next_request);
         self.next_request += 1;
         self.requests.insert(id, request);
         id
@@ -280,7 +282,7 @@
 
     /// Gives a request its final answer, unless it has one or its client has left. `answer` gets whether it
     /// is the last one on the connection.
-    pub fn answer_request(&mut self, id: TicketId, answer: impl FnOnce(bool) -> Vec<u8>) {
+    pub fn answer_request(&mut self, id: RequestId, answer: impl FnOnce(bool) -> Vec<u8>) {
         let client = self.requests.get_mut(&id).and_then(|request| request.client.take());
         if let Some(client) = client {
             let last = self.is_last_answer(client);
@@ -290,14 +292,14 @@
 
     /// Removes a request if it is answered, none of its attempts is running, and the decisions have been told
     /// of all of them.
-    pub fn remove_if_finished(&mut self, id: TicketId) {
+    pub fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = |request: &OpenRequest| {
             request.client.is_none() && request.attempts.iter().all(|attempt| attempt.ended)
         };
         let is_unreported = self
-            .outcomes
+            .pending_reports
             .iter()
-            .any(|outcome| matches!(outcome, Outcome::Attempt(request, ..) if *request == id));
+            .any(|report| matches!(report, Report::Attempt(request, ..) if *request == id));
         if !is_unreported && self.requests.get(&id).is_some_and(is_finished) {
             self.requests.remove(&id);
             self.session_request_finished(id);
@@ -305,30 +307,34 @@
     }
 
     /// An attempt that has not ended yet.
-    pub(super) fn running_attempt(&mut self, id: TicketId, attempt: TripNo) -> Option<&mut Attempt> {
+    pub(super) fn running_attempt(&mut self, id: RequestId, attempt: AttemptNo) -> Option<&mut Attempt> {
         let attempt = self.requests.get_mut(&id)?.attempts.get_mut(attempt.0 as usize)?;
         (!attempt.ended).then_some(attempt)
     }
 
     /// Ends a running attempt; the decisions will be told.
-    pub fn end_attempt(&mut self, id: TicketId, attempt: TripNo, ending: Ending, load: Vec<Option<f64>>) {
+    pub fn end_attempt(
+        &mut self, id: RequestId, attempt: AttemptNo, outcome: AttemptOutcome, load: Vec<Option<f64>>,
+    ) {
         let Some(running) = self.running_attempt(id, attempt) else { return };
         running.ended = true;
         if let Some(timeout) = running.timeout.take() {
             self.timers.cancel(timeout);
         }
-        self.outcomes.push_back(Outcome::Attempt(id, attempt, ending, load));
+        self.pending_reports.push_back(Report::Attempt(id, attempt, outcome, load));
     }
 
     /// Abandons a running attempt: closes its connection and ends it.
-    pub fn abandon_attempt(&mut self, id: TicketId, attempt: TripNo, ending: Ending, reason: CloseReason) {
+    pub fn abandon_attempt(
+        &mut self, id: RequestId, attempt: AttemptNo, outcome: AttemptOutcome, reason: CloseReason,
+    ) {
         let Some(connection) = self.running_attempt(id, attempt).map(|attempt| attempt.connection) else {
             return;
         };
         if let Some(connection) = connection {
             self.close(connection, reason);
         }
-        self.end_attempt(id, attempt, ending, Vec::new());
+        self.end_attempt(id, attempt, outcome, Vec::new());
     }
 
     // ---- the platform ----
--- a/crates/garnetdoor-gateway/src/state/host.rs
+++ b/crates/garnetdoor-gateway/src/state/host.rs
@@ -5,11 +5,12 @@
 use std::rc::Rc;
 
 use garnetdoor::host::{
-    BuildNo, Ending, GatewayId, Host, Micros, Refusal, ServerId, StageNo, Taken, TicketId, TripNo, Vote, Wake,
+    AttemptNo, AttemptOutcome, BuildNo, GatewayId, Host, Micros, Refusal, RequestId, ServerId, StageNo,
+    TimerKind, Vote, VoteResult,
 };
 
 use super::connections::{ConnectionKind, ServerCall};
-use super::gateway_state::{GatewayState, Outcome};
+use super::gateway_state::{GatewayState, Report};
 use super::request::Attempt;
 use super::timers::Timer;
 use crate::event::{CloseReason, Effect};
@@ -29,11 +30,11 @@
         self.0.borrow().now
     }
 
-    fn send_trip(&mut self, id: TicketId, server: ServerId, until: Option<Micros>) {
+    fn send_attempt(&mut self, id: RequestId, server: ServerId, until: Option<Micros>) {
         let state = &mut *self.0.borrow_mut();
         let now = state.now;
         let Some(request) = state.requests.get_mut(&id) else { return };
-        let attempt = TripNo(request.attempts.len() as u32);
+        let attempt = AttemptNo(request.attempts.len() as u32);
         let deadline = until.unwrap_or(request.deadline).min(request.deadline);
         let is_allowed =
             request.client.is_some() && now < deadline && request.attempts.len() < state.max_attempts;
@@ -48,7 +49,7 @@
         let message =
             address.map(|address| instance::attempt_request(&request.request, address, deadline - now));
         let Some(message) = message else {
-            return state.end_attempt(id, attempt, Ending::NeverSent, Vec::new());
+            return state.end_attempt(id, attempt, AttemptOutcome::NeverSent, Vec::new());
         };
         state.session_attempt_sent(id, server);
         state.send_to_server(server, ServerCall::Attempt(id, attempt), message, deadline);
@@ -58,23 +59,23 @@
         }
     }
 
-    fn has_room(&self, ticket: TicketId, server: ServerId, build: BuildNo) -> bool {
-        self.0.borrow().has_room_for_session(ticket, server, build)
+    fn has_capacity(&self, request: RequestId, server: ServerId, build: BuildNo) -> bool {
+        self.0.borrow().has_room_for_session(request, server, build)
     }
 
-    fn stop_trip(&mut self, id: TicketId, trip: TripNo) {
-        self.0.borrow_mut().abandon_attempt(id, trip, Ending::Stopped, CloseReason::Stopped);
+    fn cancel_attempt(&mut self, id: RequestId, attempt: AttemptNo) {
+        self.0.borrow_mut().abandon_attempt(id, attempt, AttemptOutcome::Cancelled, CloseReason::Stopped);
     }
 
-    fn turn_back(&mut self, id: TicketId, come_back_in: Option<Micros>) {
-        self.0.borrow_mut().answer_request(id, |last| client::rejected(come_back_in, last));
+    fn reject(&mut self, id: RequestId, retry_after: Option<Micros>) {
+        self.0.borrow_mut().answer_request(id, |last| client::rejected(retry_after, last));
     }
 
-    fn forfeit(&mut self, id: TicketId) {
+    fn fail(&mut self, id: RequestId) {
         self.0.borrow_mut().answer_request(id, client::failed);
     }
 
-    fn vote(&mut self, build: BuildNo, stage: StageNo, vote: Vote) {
+    fn cast_vote(&mut self, build: BuildNo, stage: StageNo, vote: Vote) {
         let state = &mut *self.0.borrow_mut();
         let is_vote = |kind: &ConnectionKind| matches!(kind, ConnectionKind::Vote);
         let calls = state.connections.values().filter(|connection| is_vote(&connection.kind)).count();
@@ -84,12 +85,12 @@
         if calls >= MAX_VOTE_CALLS
             || state.dial(state.platform, ConnectionKind::Vote, message, deadline).is_none()
         {
-            state.outcomes.push_back(Outcome::Vote(Taken::Error));
+            state.pending_reports.push_back(Report::Vote(VoteResult::Error));
         }
     }
 
-    fn wake_at(&mut self, at: Micros, wake: Wake) {
-        self.0.borrow_mut().timers.set(at, Timer::Wake(wake));
+    fn set_timer(&mut self, at: Micros, kind: TimerKind) {
+        self.0.borrow_mut().timers.set(at, Timer::Decisions(kind));
     }
 
     fn probe(&mut self, server: ServerId) {
@@ -103,12 +104,17 @@
                 state.send_to_server(server, ServerCall::Probe(now), message, deadline);
             }
             None => {
-                state.outcomes.push_back(Outcome::Probe(server, Ending::NeverSent, 0, Vec::new()));
+                state.pending_reports.push_back(Report::Probe(
+                    server,
+                    AttemptOutcome::NeverSent,
+                    0,
+                    Vec::new(),
+                ));
             }
         }
     }
 
-    fn tell_peers(&mut self, to: Option<GatewayId>, bytes: &[u8]) {
+    fn send_to_peers(&mut self, to: Option<GatewayId>, bytes: &[u8]) {
         let state = &mut *self.0.borrow_mut();
         let address = match to {
             Some(peer) => state.peers.get(peer.0).copied(),
@@ -119,16 +125,16 @@
         }
     }
 
-    fn ask_list(&mut self) {
+    fn fetch_server_list(&mut self) {
         let state = &mut *self.0.borrow_mut();
         let message = discovery::list_request(state.discovery);
         let deadline = state.list_deadline();
         if state.dial(state.discovery, ConnectionKind::List, message, deadline).is_none() {
-            state.outcomes.push_back(Outcome::ListFailed);
+            state.pending_reports.push_back(Report::ListFailed);
         }
     }
 
-    fn follow_list(&mut self, on: bool) {
+    fn watch_server_list(&mut self, on: bool) {
         let state = &mut *self.0.borrow_mut();
         state.follows_list = on;
         match (on, state.watch) {
@@ -138,7 +144,7 @@
                 let kind = ConnectionKind::Watch(ChunkedStream::default());
                 state.watch = state.dial(state.discovery, kind, message, deadline);
                 if state.watch.is_none() {
-                    state.outcomes.push_back(Outcome::ListFailed);
+                    state.pending_reports.push_back(Report::ListFailed);
                 }
             }
             (false, Some(watch)) => drop(state.close(watch, CloseReason::Asked)),
@@ -146,15 +152,15 @@
         }
     }
 
-    fn close_idle(&mut self, server: ServerId) {
+    fn close_idle_connections(&mut self, server: ServerId) {
         self.0.borrow_mut().close_idle_connections(server, CloseReason::Asked);
     }
 
-    fn refused(&mut self, _: TicketId, why: Refusal) {
+    fn request_refused(&mut self, _: RequestId, why: Refusal) {
         self.0.borrow_mut().count_decided_refusal(why);
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.0.borrow_mut().log(text.to_owned());
     }
 }
--- a/crates/garnetdoor-gateway/src/state/reducer.rs
+++ b/crates/garnetdoor-gateway/src/state/reducer.rs
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use garnetdoor::balance::Balance;
-use garnetdoor::host::{Condition, Ending, Host, Micros, News, ServerId, Taken};
+use garnetdoor::balance::Balancer;
+use garnetdoor::host::{AttemptOutcome, Condition, Host, Micros, RolloutStatus, ServerId, VoteResult};
 use garnetdoor_operator::Operator;
 
 use super::connections::{ConnectionKind, ConnectionState, ServerCall};
-use super::gateway_state::{GatewayState, MS, Outcome};
+use super::gateway_state::{GatewayState, MS, Report};
 use super::host::SharedState;
 use super::refusals::Cause;
 use super::request::OpenRequest;
@@ -46,7 +46,7 @@
 
 /// The decisions and the gateway's state, which only events change.
 pub struct Reducer {
-    pub(super) decisions: Balance<SharedState>,
+    pub(super) decisions: Balancer<SharedState>,
     pub(super) state: Rc<RefCell<GatewayState>>,
     seed: u64,
 }
@@ -58,7 +58,7 @@
         let mut state = GatewayState::new(now, config);
         state.apply_operator_file(operator.clone(), config.seed);
         let state = Rc::new(RefCell::new(state));
-        let decisions = Balance::start(SharedState(state.clone()), config.seed, config.settings.clone());
+        let decisions = Balancer::start(SharedState(state.clone()), config.seed, config.settings.clone());
         let mut reducer = Reducer { decisions, state, seed: config.seed };
         let initial_list = config
             .initial_list
@@ -69,8 +69,8 @@
             Some(Err(fault)) => reducer.state().log(format!("known list left out: {fault}")),
             None => {}
         }
-        if let Some(news) = config.initial_news {
-            reducer.decisions.news_came(news);
+        if let Some(status) = config.initial_rollout_status {
+            reducer.decisions.rollout_updated(status);
         }
         reducer.state().open_event_stream();
         reducer.settle();
@@ -122,7 +122,7 @@
                 // Peers are identified by their addresses; datagrams from other addresses are dropped.
                 let peer = self.state().peer_at(from);
                 match peer {
-                    Some(peer) => self.decisions.peer_told(peer, &bytes),
+                    Some(peer) => self.decisions.peer_message_received(peer, &bytes),
                     None => self.state().log(format!("datagram from {from} left out")),
                 }
             }
@@ -142,40 +142,39 @@
 
     /// Passes on what an event has caused, to the decisions and to the sessions.
     fn settle(&mut self) {
-        self.report_outcomes();
+        self.deliver_reports();
         self.run_sessions();
     }
 
-    /// Reports all outcomes to the decisions, in order. What the decisions do about them may add further
-    /// ones.
-    pub(super) fn report_outcomes(&mut self) {
+    /// Delivers all pending reports to the decisions, in order. What the decisions do may add further ones.
+    pub(super) fn deliver_reports(&mut self) {
         loop {
-            let outcome = self.state().outcomes.pop_front();
-            match outcome {
+            let report = self.state().pending_reports.pop_front();
+            match report {
                 None => return,
-                Some(Outcome::Attempt(id, attempt, ending, load)) => {
+                Some(Report::Attempt(id, attempt, outcome, load)) => {
                     let state = self.state();
                     let request = &state.requests[&id];
                     let duration = state.now - request.attempts[attempt.0 as usize].sent_at;
                     let is_answered = request.client.is_none();
                     drop(state);
-                    self.decisions.trip_ended(id, attempt, duration, ending, is_answered, &load);
+                    self.decisions.attempt_ended(id, attempt, duration, outcome, is_answered, &load);
                     self.state().remove_if_finished(id);
                 }
-                Some(Outcome::Probe(server, ending, duration, load)) => {
-                    self.decisions.probe_ended(server, ending, duration, &load);
+                Some(Report::Probe(server, outcome, duration, load)) => {
+                    self.decisions.probe_ended(server, outcome, duration, &load);
                 }
-                Some(Outcome::Vote(taken)) => self.decisions.vote_answered(taken),
-                Some(Outcome::ListFailed) => self.decisions.list_failed(),
+                Some(Report::Vote(result)) => self.decisions.vote_answered(result),
+                Some(Report::ListFailed) => self.decisions.server_list_failed(),
             }
         }
     }
 
     fn handle_timer(&mut self, timer: Timer) {
         match timer {
-            Timer::Wake(wake) => self.decisions.woke(wake),
+            Timer::Decisions(kind) => self.decisions.timer_fired(kind),
             Timer::Attempt(id, attempt) => {
-                self.state().abandon_attempt(id, attempt, Ending::TimedOut, CloseReason::TimedOut);
+                self.state().abandon_attempt(id, attempt, AttemptOutcome::TimedOut, CloseReason::TimedOut);
             }
             Timer::Connection(id) => {
                 let is_passed = self.state().is_deadline_passed(id);
@@ -196,7 +195,7 @@
             // Requests whose clients wait longer than the process has to stop would be lost if it exited
             // without answering them. The drawback: requests that would have finished in the last 0.1 s do
             // not.
-            Timer::AnswerAll => self.decisions.stops(),
+            Timer::AnswerAll => self.decisions.stop(),
             Timer::Exit => self.state().effects.push(Effect::Exit),
         }
     }
@@ -217,11 +216,11 @@
     }
 
     /// The platform has sent its state.
-    fn news_received(&mut self, news: News) {
+    fn rollout_status_received(&mut self, status: RolloutStatus) {
         if let Some(table) = &mut self.state().session_table {
             table.shares_outdated = true;
         }
-        self.decisions.news_came(news);
+        self.decisions.rollout_updated(status);
     }
 
     /// Changes the addresses of the list service and of the platform; what they have sent so far remains
@@ -255,7 +254,7 @@
             self.state().open_event_stream();
         }
         if reopen_watch {
-            SharedState(self.state.clone()).follow_list(true);
+            SharedState(self.state.clone()).watch_server_list(true);
         }
     }
 
@@ -275,7 +274,12 @@
                 |listed: &ListedServer| listed.condition == Condition::Healthy && listed.process == process;
             if !state.servers.get(&server).is_some_and(is_unchanged) {
                 if let ServerCall::Attempt(request, attempt) = call {
-                    state.abandon_attempt(request, attempt, Ending::ConnectFailed, CloseReason::Unlisted);
+                    state.abandon_attempt(
+                        request,
+                        attempt,
+                        AttemptOutcome::ConnectFailed,
+                        CloseReason::Unlisted,
+                    );
                 }
                 return;
             }
@@ -394,28 +398,34 @@
                     request.client = None;
                 }
                 drop(state);
-                self.decisions.client_left(request);
+                self.decisions.client_disconnected(request);
                 self.state().remove_if_finished(request);
             }
             ConnectionKind::Server { server, call: Some(call), .. } => {
                 // A request can't have been executed before its last byte was written; after that it may have
                 // been.
-                let ending = if write_pending { Ending::ConnectFailed } else { Ending::Reset };
+                let outcome =
+                    if write_pending { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Reset };
                 match call {
                     ServerCall::Attempt(request, attempt) => {
-                        state.end_attempt(request, attempt, ending, Vec::new());
+                        state.end_attempt(request, attempt, outcome, Vec::new());
                     }
                     ServerCall::Probe(sent_at) => {
-                        state.outcomes.push_back(Outcome::Probe(server, ending, now - sent_at, vec![]));
+                        state.pending_reports.push_back(Report::Probe(
+                            server,
+                            outcome,
+                            now - sent_at,
+                            vec![],
+                        ));
                     }
                 }
             }
             ConnectionKind::List | ConnectionKind::Watch(_) => {
-                state.outcomes.push_back(Outcome::ListFailed);
+                state.pending_reports.push_back(Report::ListFailed);
             }
             ConnectionKind::Vote => {
-                let taken = if write_pending { Taken::Error } else { Taken::Unknown };
-                state.outcomes.push_back(Outcome::Vote(taken));
+                let result = if write_pending { VoteResult::Error } else { VoteResult::Unknown };
+                state.pending_reports.push_back(Report::Vote(result));
             }
             ConnectionKind::EventStream(_) => state.retry_event_stream_later(),
             ConnectionKind::Client { request: None, .. } | ConnectionKind::Server { call: None, .. } => {}
@@ -494,7 +504,7 @@
                         self.run_sessions();
                         state = self.state();
                     }
-                    let deadline = state.answer_deadline(arrival.left);
+                    let deadline = state.answer_deadline(arrival.time_left);
                     let open_request =
                         OpenRequest { client: Some(id), request, deadline, attempts: Vec::new() };
                     let number = state.add_request(open_request);
@@ -508,7 +518,7 @@
                     }
                     state.set_deadline(id, None);
                     drop(state);
-                    self.decisions.ticket_came(number, arrival);
+                    self.decisions.request_arrived(number, arrival);
                     self.state().remove_if_finished(number);
                 }
             }
@@ -581,14 +591,14 @@
                 self.handle_server_answer(id, server, call, &answer, ended);
             }
             ConnectionKind::Vote => {
-                let (taken, news) = platform::vote_result(&answer);
-                state.log(format!("vote taken: {taken:?}"));
+                let (result, status) = platform::vote_result(&answer);
+                state.log(format!("vote taken: {result:?}"));
                 state.close(id, CloseReason::LastMessage);
                 drop(state);
-                if let Some(news) = news {
-                    self.news_received(news);
+                if let Some(status) = status {
+                    self.rollout_status_received(status);
                 }
-                self.decisions.vote_answered(taken);
+                self.decisions.vote_answered(result);
             }
             ConnectionKind::List if answer.status == 200 => {
                 let list = discovery::parse_list(&answer.body, &state.known_names);
@@ -617,21 +627,21 @@
     ) {
         let mut state = self.state();
         let now = state.now;
-        let mut ending = instance::ending(answer);
+        let mut outcome = instance::attempt_outcome(answer);
         let load = instance::load_report(answer, &state.load_fields);
         match call {
             ServerCall::Probe(sent_at) => {
-                state.outcomes.push_back(Outcome::Probe(server, ending, now - sent_at, load));
+                state.pending_reports.push_back(Report::Probe(server, outcome, now - sent_at, load));
             }
             ServerCall::Attempt(request, attempt) => {
-                if ending == Ending::Finished && state.is_upgrade(request) {
+                if outcome == AttemptOutcome::Succeeded && state.is_upgrade(request) {
                     // The server executed the request, but did not open a session.
-                    ending = Ending::Error;
+                    outcome = AttemptOutcome::Error;
                 }
-                if ending == Ending::Finished {
+                if outcome == AttemptOutcome::Succeeded {
                     state.answer_request(request, |last| client::finished(&answer.body, last));
                 }
-                state.end_attempt(request, attempt, ending, load);
+                state.end_attempt(request, attempt, outcome, load);
             }
         }
         state.release_server_connection(id, answer.keep_alive && !ended);
@@ -639,10 +649,10 @@
 
     fn list_received(&mut self, list: List) {
         let whole = list.whole;
-        let listings = self.state().apply_list(list);
-        match listings {
-            Some(listings) if whole => self.decisions.list_came(listings),
-            Some(listings) => self.decisions.list_changed(listings),
+        let servers = self.state().apply_list(list);
+        match servers {
+            Some(servers) if whole => self.decisions.server_list_replaced(servers),
+            Some(servers) => self.decisions.server_list_updated(servers),
             None => {}
         }
     }
@@ -710,7 +720,7 @@
     fn read_events(&mut self, id: ConnectionId, mut text: Vec<u8>) -> Vec<u8> {
         for event in platform::take_events(&mut text) {
             match event {
-                StreamEvent::News(news) => self.news_received(news),
+                StreamEvent::RolloutStatus(status) => self.rollout_status_received(status),
                 StreamEvent::KeepAlive => {}
                 StreamEvent::UnknownKind(text) => {
                     self.state().log(format!("notice left out: {text:?}"));
--- a/crates/garnetdoor-gateway/src/state/refusals.rs
+++ b/crates/garnetdoor-gateway/src/state/refusals.rs
@@ -37,10 +37,10 @@
     fn log_line(&self) -> String {
         let code = self.code();
         match self {
-            Cause::Decided(Refusal::TooLate { expected, allowed, out, .. }, server) => {
+            Cause::Decided(Refusal::TooLate { expected, allowed, in_flight, .. }, server) => {
                 let server = server.map_or_else(|| "unlisted".to_owned(), |server| server.to_string());
                 format!(
-                    "refused for={code} server={server} expected_us={expected} allowed_us={allowed} out={out}"
+                    "refused for={code} server={server} expected_us={expected} allowed_us={allowed} out={in_flight}"
                 )
             }
             _ => format!("refused for={code}"),
--- a/crates/garnetdoor-gateway/src/state/servers.rs
+++ b/crates/garnetdoor-gateway/src/state/servers.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use garnetdoor::host::{BuildNo, Condition, Ending, Listing, Micros, ServerId};
+use garnetdoor::host::{AttemptOutcome, BuildNo, Condition, Micros, ServerId, ServerInfo};
 
 use super::connections::{ConnectionKind, ServerCall};
-use super::gateway_state::{GatewayState, MS, Outcome};
+use super::gateway_state::{GatewayState, MS, Report};
 use crate::event::{CloseReason, ConnectionId, Effect};
 use crate::wire::discovery::List;
 
@@ -43,10 +43,15 @@
             }
             (Some(id), ServerCall::Probe(_)) => self.set_deadline(id, Some(deadline)),
             (None, ServerCall::Attempt(request, attempt)) => {
-                self.end_attempt(request, attempt, Ending::NeverSent, Vec::new());
+                self.end_attempt(request, attempt, AttemptOutcome::NeverSent, Vec::new());
             }
             (None, ServerCall::Probe(_)) => {
-                self.outcomes.push_back(Outcome::Probe(server, Ending::NeverSent, 0, Vec::new()));
+                self.pending_reports.push_back(Report::Probe(
+                    server,
+                    AttemptOutcome::NeverSent,
+                    0,
+                    Vec::new(),
+                ));
             }
         }
     }
@@ -117,8 +122,8 @@
         }
     }
 
-    /// Applies a list, and returns its listings for the decisions; `None` if it is older than the last one.
-    pub fn apply_list(&mut self, list: List) -> Option<Vec<Listing>> {
+    /// Applies a list, and returns its servers for the decisions; `None` if it is older than the last one.
+    pub fn apply_list(&mut self, list: List) -> Option<Vec<ServerInfo>> {
         for fault in &list.faults {
             self.log(format!("list entry left out: {fault}"));
         }
@@ -131,10 +136,10 @@
         if list.whole {
             self.servers.values_mut().for_each(|listed| listed.condition = Condition::Gone);
         }
-        let mut listings = Vec::new();
+        let mut servers = Vec::new();
         for entry in list.entries {
-            let server = ServerId(self.server_names.number(&entry.name) as u32);
-            let Listing { condition, build, started, .. } = entry.listing;
+            let server = ServerId(self.server_names.intern(&entry.name) as u32);
+            let ServerInfo { condition, build, started, .. } = entry.info;
             let process = ServerProcess { address: entry.address, build, started };
             if self.servers.get(&server).is_some_and(|listed| listed.process != process) {
                 self.close_idle_connections(server, CloseReason::Unlisted);
@@ -142,7 +147,7 @@
             let listed =
                 self.servers.entry(server).or_insert(ListedServer { process, condition, idle: Vec::new() });
             (listed.process, listed.condition) = (process, condition);
-            listings.push(Listing { server, ..entry.listing });
+            servers.push(ServerInfo { server, ..entry.info });
         }
         let unhealthy = self.servers.iter().filter(|(_, listed)| listed.condition != Condition::Healthy);
         for server in unhealthy.map(|(server, _)| *server).collect::<Vec<_>>() {
@@ -152,7 +157,7 @@
             self.report_servers_to_sessions(servers_before);
         }
         self.remove_gone_servers();
-        Some(listings)
+        Some(servers)
     }
 
     /// Removes servers that are gone and have no connection left; with each release they would otherwise
--- a/crates/garnetdoor-gateway/src/state/sessions.rs
+++ b/crates/garnetdoor-gateway/src/state/sessions.rs
@@ -5,7 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
-use garnetdoor::host::{Arrival, BuildNo, Condition, Ending, Micros, ProfileId, ServerId, TicketId, TripNo};
+use garnetdoor::host::{
+    Arrival, AttemptNo, AttemptOutcome, BuildNo, Condition, Micros, ProfileId, RequestId, ServerId,
+};
 use garnetdoor_operator::{Operator, Websocket};
 use garnetdoor_sessions::{
     Act, Admission, End, Glance, Key, Opening, Party, Repeats, SessionId, Sessions, Side,
@@ -23,7 +25,7 @@
 
 /// The request and the connections of a session.
 struct SessionEntry {
-    request: TicketId,
+    request: RequestId,
     /// The client's and the server's connection, once the session is open.
     connections: Option<[ConnectionId; 2]>,
     /// Whether each of the two connections has ended.
@@ -37,7 +39,7 @@
     pub sessions: Sessions,
     /// The operator file's section; `None` once a reload has removed it.
     pub settings: Option<Websocket>,
-    by_request: BTreeMap<TicketId, SessionId>,
+    by_request: BTreeMap<RequestId, SessionId>,
     by_connection: BTreeMap<ConnectionId, (SessionId, Side)>,
     entries: BTreeMap<SessionId, SessionEntry>,
     /// The addresses that ordinary client connections come from.
@@ -133,7 +135,7 @@
     }
 
     /// Adds the session that an admitted upgrade is to become.
-    pub fn add_session(&mut self, session: SessionId, request: TicketId) {
+    pub fn add_session(&mut self, session: SessionId, request: RequestId) {
         if let Some(table) = &mut self.session_table {
             table.by_request.insert(request, session);
             let entry = SessionEntry { request, connections: None, ended: [false; 2], pending_join: None };
@@ -142,19 +144,19 @@
     }
 
     /// Whether a request is an upgrade.
-    pub fn is_upgrade(&self, request: TicketId) -> bool {
+    pub fn is_upgrade(&self, request: RequestId) -> bool {
         self.requests.get(&request).is_some_and(|request| request.request.upgrade.is_some())
     }
 
     /// Whether a server, and its build, have room for the session that a request is to become. Always true
     /// for an ordinary request.
-    pub(super) fn has_room_for_session(&self, request: TicketId, server: ServerId, build: BuildNo) -> bool {
+    pub(super) fn has_room_for_session(&self, request: RequestId, server: ServerId, build: BuildNo) -> bool {
         let table = self.session_table.as_ref().filter(|table| table.by_request.contains_key(&request));
         table.is_none_or(|table| table.sessions.has_room(server, build))
     }
 
     /// An attempt of a request is being sent.
-    pub(super) fn session_attempt_sent(&mut self, request: TicketId, server: ServerId) {
+    pub(super) fn session_attempt_sent(&mut self, request: RequestId, server: ServerId) {
         let Some(build) = self.servers.get(&server).map(|listed| listed.process.build) else { return };
         if let Some(table) = &mut self.session_table
             && let Some(session) = table.by_request.get(&request)
@@ -164,7 +166,7 @@
     }
 
     /// A request is finished: if it was an upgrade that did not open a session, the session is dropped.
-    pub(super) fn session_request_finished(&mut self, request: TicketId) {
+    pub(super) fn session_request_finished(&mut self, request: RequestId) {
         let now = self.now;
         if let Some(table) = &mut self.session_table
             && let Some(session) = table.by_request.remove(&request)
@@ -266,7 +268,8 @@
         let Some(table) = state.session_table.as_mut().filter(|table| table.shares_outdated) else { return };
         table.shares_outdated = false;
         let builds: BTreeSet<BuildNo> = state.servers.values().map(|listed| listed.process.build).collect();
-        let shares = builds.into_iter().filter_map(|build| Some((build, self.decisions.cap(build)?)));
+        let shares =
+            builds.into_iter().filter_map(|build| Some((build, self.decisions.exposure_cap(build)?)));
         table.sessions.told(state.now, shares.collect());
     }
 
@@ -336,23 +339,23 @@
 
     /// Abandons an upgrade because another one has replaced it: its client is answered at once, and its
     /// attempts are stopped.
-    fn abandon_upgrade(&mut self, request: TicketId, retry_after: Micros) {
+    fn abandon_upgrade(&mut self, request: RequestId, retry_after: Micros) {
         let mut state = self.state();
         state.count_refusal(Cause::Session);
         state.answer_request(request, |last| client::rejected(Some(retry_after), last));
         drop(state);
-        self.decisions.client_left(request);
+        self.decisions.client_disconnected(request);
         self.stop_attempts(request, None);
-        self.report_outcomes();
+        self.deliver_reports();
         self.state().remove_if_finished(request);
     }
 
     /// Stops the running attempts of a request, except for one.
-    fn stop_attempts(&mut self, request: TicketId, except: Option<TripNo>) {
+    fn stop_attempts(&mut self, request: RequestId, except: Option<AttemptNo>) {
         let mut state = self.state();
         let count = state.requests.get(&request).map_or(0, |request| request.attempts.len() as u32);
-        for attempt in (0..count).map(TripNo).filter(|attempt| Some(*attempt) != except) {
-            state.abandon_attempt(request, attempt, Ending::Stopped, CloseReason::Stopped);
+        for attempt in (0..count).map(AttemptNo).filter(|attempt| Some(*attempt) != except) {
+            state.abandon_attempt(request, attempt, AttemptOutcome::Cancelled, CloseReason::Stopped);
         }
     }
 
@@ -385,7 +388,7 @@
             // The client has left or was answered, so that there is nothing to join the server's connection
             // with.
             state.close(id, CloseReason::Stopped);
-            return state.end_attempt(request, attempt, Ending::Finished, Vec::new());
+            return state.end_attempt(request, attempt, AttemptOutcome::Succeeded, Vec::new());
         };
         state.consume(id, used);
         let (Some(client_connection), Some(server_connection)) =
@@ -398,7 +401,7 @@
             request.client = None;
         }
         state.write_to_session(client, agreement.head());
-        state.end_attempt(request, attempt, Ending::Finished, Vec::new());
+        state.end_attempt(request, attempt, AttemptOutcome::Succeeded, Vec::new());
         let condition = match state.servers.get(&server) {
             Some(listed) if listed.process == process => listed.condition,
             _ => Condition::Gone,
--- a/crates/garnetdoor-gateway/src/state/timers.rs
+++ b/crates/garnetdoor-gateway/src/state/timers.rs
@@ -2,17 +2,17 @@
 
 use std::collections::BTreeMap;
 
-use garnetdoor::host::{Micros, TicketId, TripNo, Wake};
+use garnetdoor::host::{AttemptNo, Micros, RequestId, TimerKind};
 
 use crate::event::ConnectionId;
 
 /// What is to be done when a timer is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// Wake the decisions.
-    Wake(Wake),
+    /// Tell the decisions that a timer of theirs is due.
+    Decisions(TimerKind),
     /// Time out an attempt.
-    Attempt(TicketId, TripNo),
+    Attempt(RequestId, AttemptNo),
     /// Check whether a connection's deadline has passed.
     Connection(ConnectionId),
     /// Ask for the platform's event stream again.
--- a/crates/garnetdoor-gateway/src/wire/client.rs
+++ b/crates/garnetdoor-gateway/src/wire/client.rs
@@ -1,6 +1,6 @@
 //! Requests of clients, and the gateway's answers to them.
 
-use garnetdoor::host::{Arrival, KeyId, Micros, PartyId, ProfileId, Settings, micros};
+use garnetdoor::host::{Arrival, KeyId, Micros, PartyId, ProfileId, Settings, parse_seconds};
 
 use garnetdoor_operator::Websocket;
 use garnetdoor_websocket::handshake::{self, Offer, Refusal};
@@ -29,8 +29,8 @@
     pub fn new(settings: &Settings) -> Self {
         let count = settings.number("classes.count").unwrap_or(0.0) as usize;
         let profile = |id: ProfileId| Profile {
-            name: settings.text(&id.setting("name")).unwrap_or_default().to_owned(),
-            method: if settings.text(&id.setting("repeat")) == Some("safe") { "GET" } else { "POST" },
+            name: settings.text(&id.setting_name("name")).unwrap_or_default().to_owned(),
+            method: if settings.text(&id.setting_name("repeat")) == Some("safe") { "GET" } else { "POST" },
         };
         Profiles((0..count).map(|number| profile(ProfileId(number))).collect())
     }
@@ -163,11 +163,11 @@
     let extra_value = |name| http::list_value(extra, name);
     let arrival = Arrival {
         profile: ProfileId(number),
-        cost: extra_value("effort").and_then(micros),
+        cost: extra_value("effort").and_then(parse_seconds),
         key: extra_value("entity").and_then(|text| u64::from_str_radix(text, 16).ok()).map(KeyId),
-        left: deadline_ms * MICROS_PER_MS - waited,
+        time_left: deadline_ms * MICROS_PER_MS - waited,
         writes: extra_value("write") == Some("1"),
-        repeat: message.header("req-retry") == Some("1"),
+        is_retry: message.header("req-retry") == Some("1"),
         party: extra_value("user_group").and_then(|text| text.parse().ok()).map(PartyId),
     };
     let Message { method, target, body, .. } = message;
--- a/crates/garnetdoor-gateway/src/wire/discovery.rs
+++ b/crates/garnetdoor-gateway/src/wire/discovery.rs
@@ -2,8 +2,10 @@
 
 use std::net::SocketAddr;
 
-use garnetdoor::host::{BuildNo, CellId, Condition, KindId, Listing, Micros, ServerId, Settings, ZoneId};
-use garnetdoor::names::by_word;
+use garnetdoor::host::{
+    BuildNo, CellId, Condition, MachineTypeId, Micros, ServerId, ServerInfo, Settings, ZoneId,
+};
+use garnetdoor::names::value_of_name;
 use serde_json::Value;
 
 /// The protocol's names for `Condition::ALL`, in the same order.
@@ -24,12 +26,12 @@
     head.into_bytes()
 }
 
-/// One server of a list. Its listing does not have the gateway's own number for the server yet.
+/// One server of a list. Its `info` does not have the gateway's own number for the server yet.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub name: String,
     pub address: SocketAddr,
-    pub listing: Listing,
+    pub info: ServerInfo,
 }
 
 /// A whole list, or changes to it.
@@ -86,28 +88,28 @@
     let text = |field: &str| value[field].as_str().ok_or_else(|| fault(field));
     let number = |field: &str| value[field].as_u64().ok_or_else(|| fault(field));
     let index = |field: &str, known: &[String]| {
-        let name = Settings::plain(text(field)?);
+        let name = Settings::sanitize(text(field)?);
         known.iter().position(|other| *other == name).ok_or_else(|| fault(field))
     };
-    let condition = by_word(Condition::ALL, STATES, text("state")?);
+    let condition = value_of_name(Condition::ALL, STATES, text("state")?);
     let condition = condition.ok_or_else(|| fault("state"))?;
     let started_ms = value["boot_ms"]
         .as_f64()
         .filter(|ms| (0.0..START_TIME_LIMIT_MS).contains(ms))
         .ok_or_else(|| fault("boot_ms"))?;
-    let listing = Listing {
+    let info = ServerInfo {
         server: ServerId::default(),
         build: BuildNo(u32::try_from(number("image_id")?).map_err(|_| fault("image_id"))?),
         zone: ZoneId(index("az", &names.zones)?),
-        kind: KindId(index("model", &names.machine_types)?),
+        machine_type: MachineTypeId(index("model", &names.machine_types)?),
         cell: CellId(number("pod_group")?),
         condition,
-        size: value["capacity_hint"]
+        capacity: value["capacity_hint"]
             .as_f64()
-            .filter(|size| *size > 0.0)
+            .filter(|capacity| *capacity > 0.0)
             .ok_or_else(|| fault("capacity_hint"))?,
         started: Some((started_ms * MICROS_PER_MS) as Micros).filter(|at| *at != 0),
     };
     let address = text("endpoint")?.parse().map_err(|_| fault("endpoint"))?;
-    Ok(Entry { address, listing, name })
+    Ok(Entry { address, info, name })
 }
--- a/crates/garnetdoor-gateway/src/wire/instance.rs
+++ b/crates/garnetdoor-gateway/src/wire/instance.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use garnetdoor::host::{Ending, Micros};
+use garnetdoor::host::{AttemptOutcome, Micros};
 
 use super::client::ForwardedRequest;
 use super::http::{self, Message};
@@ -35,11 +35,11 @@
 
 /// How an answer ends an attempt. A status that the protocol does not define says nothing about whether the
 /// request was executed.
-pub fn ending(answer: &Message) -> Ending {
+pub fn attempt_outcome(answer: &Message) -> AttemptOutcome {
     match answer.status {
-        200 => Ending::Finished,
-        503 | 504 if answer.header("srv-declined") == Some("1") => Ending::Full,
-        _ => Ending::Error,
+        200 => AttemptOutcome::Succeeded,
+        503 | 504 if answer.header("srv-declined") == Some("1") => AttemptOutcome::Rejected,
+        _ => AttemptOutcome::Error,
     }
 }
 
--- a/crates/garnetdoor-gateway/src/wire/platform.rs
+++ b/crates/garnetdoor-gateway/src/wire/platform.rs
@@ -3,8 +3,8 @@
 
 use std::net::SocketAddr;
 
-use garnetdoor::host::{BuildNo, Micros, News, Phase, StageNo, Taken, Vote};
-use garnetdoor::names::by_word;
+use garnetdoor::host::{BuildNo, Micros, RolloutPhase, RolloutStatus, StageNo, Vote, VoteResult};
+use garnetdoor::names::value_of_name;
 use quick_xml::Reader;
 use quick_xml::events::Event;
 
@@ -12,7 +12,7 @@
 
 /// The protocol's names for `Vote::ALL`, in the same order.
 const OPINIONS: [&str; 4] = ["abstain", "promote", "pause", "abort"];
-/// The protocol's names for `Phase::ALL`, in the same order.
+/// The protocol's names for `RolloutPhase::ALL`, in the same order.
 const PHASES: [&str; 4] = ["Progressing", "Aborting", "Healthy", "Aborted"];
 
 /// Upper bound, in milliseconds, of the age of a state that is accepted.
@@ -35,22 +35,22 @@
 }
 
 /// Reads the answer to a vote: how the platform took it, and the state that a counted vote is answered with.
-pub fn vote_result(answer: &Message) -> (Taken, Option<News>) {
-    let Some(fields) = leaf_elements(&answer.body) else { return (Taken::Unknown, None) };
+pub fn vote_result(answer: &Message) -> (VoteResult, Option<RolloutStatus>) {
+    let Some(fields) = leaf_elements(&answer.body) else { return (VoteResult::Unknown, None) };
     let field = |name: &str| fields.iter().find(|(field, _)| field == name).map(|(_, text)| text.as_str());
     match (answer.status, field("Code")) {
-        (200, None) => match parse_news(field) {
-            Some(news) => (Taken::Counted, Some(news)),
-            None => (Taken::Unknown, None),
+        (200, None) => match parse_rollout_status(field) {
+            Some(status) => (VoteResult::Counted, Some(status)),
+            None => (VoteResult::Unknown, None),
         },
-        (400, Some("limit")) => (Taken::Full, None),
-        (400, Some("moot")) => (Taken::Moot, None),
-        (400 | 500, Some("error" | "malformed")) => (Taken::Error, None),
-        _ => (Taken::Unknown, None),
+        (400, Some("limit")) => (VoteResult::Full, None),
+        (400, Some("moot")) => (VoteResult::Moot, None),
+        (400 | 500, Some("error" | "malformed")) => (VoteResult::Error, None),
+        _ => (VoteResult::Unknown, None),
     }
 }
 
-/// Names and texts of the innermost elements of an XML document; `None` if it is not well formed or has no
+/// NameTable and texts of the innermost elements of an XML document; `None` if it is not well formed or has no
 /// such element.
 fn leaf_elements(document: &[u8]) -> Option<Vec<(String, String)>> {
     let mut reader = Reader::from_str(str::from_utf8(document).ok()?);
@@ -77,22 +77,22 @@
 
 /// Reads the state of the newest build from its fields, in whichever format they came; `None` if one is
 /// missing, unreadable or out of range.
-pub fn parse_news<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Option<News> {
-    let phase = by_word(Phase::ALL, PHASES, field("progress")?)?;
+pub fn parse_rollout_status<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Option<RolloutStatus> {
+    let phase = value_of_name(RolloutPhase::ALL, PHASES, field("progress")?)?;
     let cap: f64 = field("ceiling")?.parse().ok()?;
     let age_ms: f64 = field("lag_ms")?.parse().ok()?;
-    Some(News {
+    Some(RolloutStatus {
         build: BuildNo(field("image")?.parse().ok()?),
         stage: StageNo(field("ring")?.parse().ok()?),
         phase,
-        cap: (0.0..=1.0).contains(&cap).then_some(cap)?,
+        exposure_cap: (0.0..=1.0).contains(&cap).then_some(cap)?,
         age: (0.0..STATE_AGE_LIMIT_MS).contains(&age_ms).then_some((age_ms * MICROS_PER_MS) as Micros)?,
     })
 }
 
 /// One event of the platform's stream.
 pub enum StreamEvent {
-    News(News),
+    RolloutStatus(RolloutStatus),
     /// A comment without content, sent to keep the stream alive.
     KeepAlive,
     /// An event of a kind that is not known here, with its text.
@@ -117,10 +117,11 @@
     let line_after = |prefix: &str| event.lines().find_map(|line| line.strip_prefix(prefix)).map(str::trim);
     let fields: Vec<_> =
         line_after("data:").unwrap_or_default().split('&').filter_map(|pair| pair.split_once('=')).collect();
-    let news = parse_news(|name| fields.iter().find(|(field, _)| *field == name).map(|(_, value)| *value));
+    let status =
+        parse_rollout_status(|name| fields.iter().find(|(field, _)| *field == name).map(|(_, value)| *value));
     let is_kind = |name: &str| !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_lowercase());
-    match (line_after("event:"), news) {
-        (Some("news"), Some(news)) => StreamEvent::News(news),
+    match (line_after("event:"), status) {
+        (Some("news"), Some(status)) => StreamEvent::RolloutStatus(status),
         (None, _) if event.lines().all(|line| line.starts_with(':')) => StreamEvent::KeepAlive,
         (Some(kind), _) if kind != "news" && is_kind(kind) => StreamEvent::UnknownKind(event),
         _ => StreamEvent::Unreadable(event),
