--- a/crates/garnetdoor-gateway/src/config.rs
+++ b/crates/garnetdoor-gateway/src/config.rs
@@ -59,7 +59,9 @@
 
 const ADDRESS_EXPECTED: &str = "an address and port such as 127.0.0.1:8081";
 const DEFAULT_MAX_DESCRIPTORS: u64 = 1024;
+const MIN_DESCRIPTORS: u64 = 64;
 const DEFAULT_MEMORY_MB: u64 = 192;
+const MIN_MEMORY_MB: u64 = 16;
 
 /// The configuration file as it is being checked, with the faults found so far.
 struct Source<'a> {
@@ -116,6 +118,19 @@
     check(&text, environment).map_err(|faults| faults.iter().map(ToString::to_string).collect())
 }
 
+/// Replaces values of the file by those of environment variables. Returns a line for each value that differs.
+fn apply_environment(file: &mut Value, environment: impl Fn(&str) -> Option<String>) -> Vec<String> {
+    let mut overrides = Vec::new();
+    for (name, key) in [("EDGE_NAME", "name"), ("EDGE_LISTEN", "listen"), ("EDGE_DISCOVERY", "discovery")] {
+        let Some(value) = environment(name).map(Value::String) else { continue };
+        if !file[key].is_null() && file[key] != value {
+            overrides.push(format!("{name} overrules {key}: {value} instead of {}", file[key]));
+        }
+        file[key] = value;
+    }
+    overrides
+}
+
 /// Checks the text of a configuration file, overridden by environment variables.
 ///
 /// # Errors
@@ -130,14 +145,7 @@
         return Err(vec![Fault { key: "(file)".to_owned(), found, expected: "a JSON object" }]);
     }
     let discovery_in_file = parse_address(&file["discovery"]);
-    let mut overrides = Vec::new();
-    for (name, key) in [("EDGE_NAME", "name"), ("EDGE_LISTEN", "listen"), ("EDGE_DISCOVERY", "discovery")] {
-        let Some(value) = environment(name).map(Value::String) else { continue };
-        if !file[key].is_null() && file[key] != value {
-            overrides.push(format!("{name} overrules {key}: {value} instead of {}", file[key]));
-        }
-        file[key] = value;
-    }
+    let overrides = apply_environment(&mut file, environment);
     let mut source = Source { file: &file, faults: Vec::new() };
     let non_empty_text = |value: &Value| value.as_str().filter(|text| !text.is_empty()).map(str::to_owned);
     let name = source.required("name", "a name", non_empty_text);
@@ -147,10 +155,10 @@
     let parse_hex = |value: &Value| u64::from_str_radix(value.as_str()?, 16).ok();
     let seed = source.required("seed", "up to 16 hex digits", parse_hex);
     let max_descriptors = source.optional("limits.sockets", "a whole number, 64 at least", |value| {
-        value.as_u64().filter(|count| *count >= 64)
+        value.as_u64().filter(|count| *count >= MIN_DESCRIPTORS)
     });
     let memory_mb = source.optional("limits.memory_mb", "a whole number, 16 at least", |value| {
-        value.as_u64().filter(|count| *count >= 16)
+        value.as_u64().filter(|megabytes| *megabytes >= MIN_MEMORY_MB)
     });
     let peer_listen = source.optional("peer_listen", ADDRESS_EXPECTED, parse_address);
     let parse_addresses =
--- a/crates/garnetdoor-gateway/src/lifecycle/serve.rs
+++ b/crates/garnetdoor-gateway/src/lifecycle/serve.rs
@@ -32,9 +32,9 @@
 const SELECTOR_TIMEOUT_NS: u64 = 1_000_000_000;
 /// How long the reducer's thread waits at most if no timer is due.
 const MAX_WAIT: Duration = Duration::from_secs(1);
-/// Buffers of all connections may hold this part of the memory limit: they grow by doubling, and their bytes
-/// are copied on the way.
-const BUFFER_SHARE_OF_MEMORY: usize = 8;
+/// The share of the memory limit (1/8) that all connections' buffers may hold: buffers grow by doubling, and
+/// their bytes are copied on the way.
+const BUFFER_MEMORY_DIVISOR: usize = 8;
 const BYTES_PER_MIB: usize = 1024 * 1024;
 const PANIC_EXIT_CODE: i32 = 101;
 
@@ -87,7 +87,7 @@
         }
         None => None,
     };
-    socket::set_buffer_limit(config.memory_mb * BYTES_PER_MIB / BUFFER_SHARE_OF_MEMORY);
+    socket::set_buffer_limit(config.memory_mb * BYTES_PER_MIB / BUFFER_MEMORY_DIVISOR);
     let (reducer, effects) = Reducer::start(clock.now(), &config, &operator);
     let accepted = AcceptedConnections::default();
     let listener = Some(listen::accept_clients(listener, accepted.clone(), events.clone()));
--- a/crates/garnetdoor-gateway/src/state/connections.rs
+++ b/crates/garnetdoor-gateway/src/state/connections.rs
@@ -13,14 +13,15 @@
 
 /// How long a surplus client may take to send its request, which is rejected before the connection is closed.
 const SURPLUS_CLIENT_TIMEOUT: Micros = SECOND;
-/// An answered client that has been idle for so long is taken to have no request on its way, and may be shed.
+/// After this idle time an answered client is assumed to have no request on its way, and may be shed.
 const SHED_ANSWERED_AFTER: Micros = 500 * MS;
-/// The same while more clients are idle than may be.
+/// The same, while more clients are idle than the limit allows.
 const SHED_CROWDED_AFTER: Micros = 250 * MS;
-/// A client that connected so long ago and has sent nothing is not expected to send soon, and may be shed.
+/// After this time a client that has connected and sent nothing is not expected to send soon, and may be
+/// shed.
 const SHED_MUTE_AFTER: Micros = 50 * MS;
-/// One in so many connections is kept free of clients for servers and votes, in a flood of clients.
-const FLOOD_RESERVE_PART: usize = 8;
+/// The share of connections (1/8) that a flood of clients leaves free for servers and votes.
+const FLOOD_RESERVE_DIVISOR: usize = 8;
 
 /// What a connection to a server is used for at present.
 #[derive(Clone, Copy)]
@@ -36,7 +37,7 @@
         /// Its open request.
         request: Option<RequestId>,
         /// Its last message has been read; anything further is discarded.
-        last: bool,
+        last_message_read: bool,
         /// There are too many clients: its request is rejected without a decision.
         surplus: bool,
         /// It has been answered at least once.
@@ -98,7 +99,8 @@
 impl ConnectionState {
     /// Whether it is a client's connection that is idle and not about to be closed.
     pub fn is_idle_client(&self) -> bool {
-        let is_waiting = matches!(self.kind, ConnectionKind::Client { request: None, last: false, .. });
+        let is_waiting =
+            matches!(self.kind, ConnectionKind::Client { request: None, last_message_read: false, .. });
         is_waiting && self.buffer.is_empty() && !self.write_pending && self.closing.is_none()
     }
 }
@@ -201,7 +203,7 @@
         let surplus = !self.make_room(self.max_clients);
         let kind = ConnectionKind::Client {
             request: None,
-            last: false,
+            last_message_read: false,
             surplus,
             answered: false,
             message_started: false,
@@ -211,7 +213,7 @@
         self.set_deadline(id, Some(self.now + timeout));
         // Keeps the last descriptors, which servers and votes need, free in a flood of clients. The drawback:
         // a client whose request crosses two such closes has lost it.
-        if self.connections.len() > self.max_connections - self.max_connections / FLOOD_RESERVE_PART {
+        if self.connections.len() > self.max_connections - self.max_connections / FLOOD_RESERVE_DIVISOR {
             self.close_if_idle(id, CloseReason::Shed);
         }
     }
--- a/crates/garnetdoor-gateway/src/state/gateway_state.rs
+++ b/crates/garnetdoor-gateway/src/state/gateway_state.rs
@@ -28,9 +28,9 @@
 // These constants, and those of the other files of this module, are properties of the protocol and its
 // connections; no decision depends on them.
 
-/// The final answer is sent so long before the client's deadline, to arrive in time.
+/// How long before the client's deadline the final answer is sent, so that it arrives in time.
 const ANSWER_LEAD_TIME: Micros = 20 * MS;
-/// The event stream has failed if it is silent for so long; the platform sends something every second.
+/// After this time without data the event stream has failed; the platform sends something every second.
 const EVENT_STREAM_TIMEOUT: Micros = 3_500 * MS;
 /// First wait before the event stream is asked for again; it doubles up to [`EVENT_STREAM_MAX_BACKOFF`].
 const EVENT_STREAM_MIN_BACKOFF: Micros = 100 * MS;
@@ -46,12 +46,13 @@
 const LINGER_TIMEOUT: Micros = SECOND;
 /// Descriptors other than connections: standard streams, listener, peers' socket, signals, `may`.
 const NON_CONNECTION_DESCRIPTORS: usize = 14;
-/// One in so many descriptors is left for abandoned dials, which end a little later.
-const ABANDONED_DIALS_PART: usize = 32;
-/// One in so many connections is left for servers and services; clients may hold the others.
-const NON_CLIENT_PART: usize = 4;
-/// One in so many descriptors may be held by idle clients: half of the third that ordinary clients may hold.
-const IDLE_CLIENTS_PART: usize = 6;
+/// The share of descriptors (1/32) left for abandoned dials, whose sockets are closed a little later.
+const ABANDONED_DIALS_DIVISOR: usize = 32;
+/// The share of connections (1/4) left for servers and services; clients may hold the others.
+const NON_CLIENT_DIVISOR: usize = 4;
+/// The share of descriptors (1/6) that idle clients may hold: half of the third that ordinary clients may
+/// hold.
+const IDLE_CLIENTS_DIVISOR: usize = 6;
 const DEFAULT_DIAL_TIMEOUT: Micros = 250 * MS;
 /// How long a server keeps an idle connection, by default.
 const DEFAULT_SERVER_IDLE_CLOSE: Micros = 10 * SECOND;
@@ -121,9 +122,9 @@
     pub(super) peer_broadcast: Option<SocketAddr>,
 }
 
-/// How many of the connections may be clients'.
+/// How many of the connections clients may hold.
 fn max_clients(max_connections: usize) -> usize {
-    max_connections - max_connections / NON_CLIENT_PART
+    max_connections - max_connections / NON_CLIENT_DIVISOR
 }
 
 impl GatewayState {
@@ -133,7 +134,7 @@
         let limit = |name: &str| settings.number(name).map_or(usize::MAX, |number| number as usize);
         let max_connections = config
             .max_descriptors
-            .saturating_sub(NON_CONNECTION_DESCRIPTORS + config.max_descriptors / ABANDONED_DIALS_PART);
+            .saturating_sub(NON_CONNECTION_DESCRIPTORS + config.max_descriptors / ABANDONED_DIALS_DIVISOR);
         GatewayState {
             now,
             effects: Vec::new(),
@@ -162,7 +163,7 @@
             max_connections_and_sessions: max_connections,
             max_connections,
             max_clients: max_clients(max_connections),
-            max_idle_clients: config.max_descriptors / IDLE_CLIENTS_PART,
+            max_idle_clients: config.max_descriptors / IDLE_CLIENTS_DIVISOR,
             max_attempts: limit("policy_limits.try_limit"),
             dial_timeout: duration("policy_limits.dial_timeout", DEFAULT_DIAL_TIMEOUT),
             // Half of the time after which the server closes it: an attempt that crosses that close may have
@@ -232,7 +233,7 @@
     pub fn is_last_answer(&self, id: ConnectionId) -> bool {
         let is_last = |connection: &ConnectionState| {
             !connection.buffer.is_empty()
-                || matches!(connection.kind, ConnectionKind::Client { last: true, .. })
+                || matches!(connection.kind, ConnectionKind::Client { last_message_read: true, .. })
         };
         self.stopping || self.connections.get(&id).is_some_and(is_last)
     }
@@ -247,10 +248,10 @@
         self.write(id, bytes);
         self.set_deadline(id, Some(self.now + if last { LINGER_TIMEOUT } else { CLIENT_READ_TIMEOUT }));
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        if let ConnectionKind::Client { request, last: is_last, answered, message_started, .. } =
+        if let ConnectionKind::Client { request, last_message_read, answered, message_started, .. } =
             &mut connection.kind
         {
-            (*request, *is_last, *answered, *message_started) = (None, last, true, false);
+            (*request, *last_message_read, *answered, *message_started) = (None, last, true, false);
         }
         if last {
             self.effects.push(Effect::ShutdownWrite(id));
--- a/crates/garnetdoor-gateway/src/state/reducer.rs
+++ b/crates/garnetdoor-gateway/src/state/reducer.rs
@@ -2,40 +2,36 @@
 //! act on it, and returns the effects that are to be carried out outside. It reads no clock and uses no
 //! socket.
 
+mod answers;
+mod clients;
+mod connections;
+mod sessions;
+mod streams;
+
 use std::cell::{RefCell, RefMut};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use garnetdoor::balance::Balancer;
-use garnetdoor::host::{AttemptOutcome, Condition, Host, Micros, RolloutStatus, ServerId, VoteResult};
+use garnetdoor::host::{AttemptOutcome, Host, Micros, RolloutStatus};
 use garnetdoor_operator::Operator;
 
-use super::connections::{ConnectionKind, ConnectionState, ServerCall};
+use super::connections::ConnectionKind;
 use super::gateway_state::{GatewayState, MS, Report};
 use super::host::SharedState;
-use super::refusals::Cause;
-use super::request::OpenRequest;
-use super::servers::ListedServer;
-use super::sessions::UpgradeRejected;
 use super::timers::Timer;
 use crate::config::Config;
-use crate::event::{CloseReason, ConnectionId, Effect, Event};
-use crate::wire::client::{self, ClientMessage};
+use crate::event::{CloseReason, Effect, Event};
 use crate::wire::discovery::{self, List};
-use crate::wire::http::{self, Fault, MAX_UNREAD_BYTES, Message, StreamEnd};
-use crate::wire::instance;
-use crate::wire::platform::{self, StreamEvent};
+use crate::wire::http::Fault;
 
 /// How long new connections are accepted after the signal to stop, since a load balancer in front may still
 /// assign some.
 const ACCEPT_AFTER_STOP: Micros = 500 * MS;
-/// How long a server may take for the rest of an answer of which a part has arrived; servers write an answer
-/// at once.
-const ANSWER_REST_TIMEOUT: Micros = 250 * MS;
-/// All open requests are answered so long after the signal to stop, however long their clients would wait:
+/// When all open requests are answered after the signal to stop, however long their clients would wait:
 /// SIGKILL follows 3.7 s after the signal at the earliest.
 const ANSWER_ALL_AFTER_STOP: Micros = 3_500 * MS;
-/// The process exits so long after the signal to stop, even if something is left to do.
+/// When the process exits after the signal to stop, even if something is left to do.
 const EXIT_AFTER_STOP: Micros = 3_600 * MS;
 
 impl From<Fault> for CloseReason {
@@ -46,8 +42,8 @@
 
 /// The decisions and the gateway's state, which only events change.
 pub struct Reducer {
-    pub(super) decisions: Balancer<SharedState>,
-    pub(super) state: Rc<RefCell<GatewayState>>,
+    decisions: Balancer<SharedState>,
+    state: Rc<RefCell<GatewayState>>,
     seed: u64,
 }
 
@@ -78,7 +74,7 @@
         (reducer, effects)
     }
 
-    pub(super) fn state(&self) -> RefMut<'_, GatewayState> {
+    fn state(&self) -> RefMut<'_, GatewayState> {
         self.state.borrow_mut()
     }
 
@@ -147,7 +143,7 @@
     }
 
     /// Delivers all pending reports to the decisions, in order. What the decisions do may add further ones.
-    pub(super) fn deliver_reports(&mut self) {
+    fn deliver_reports(&mut self) {
         loop {
             let report = self.state().pending_reports.pop_front();
             match report {
@@ -258,395 +254,7 @@
         }
     }
 
-    // ---- connections ----
-
-    fn connected(&mut self, id: ConnectionId) {
-        let mut state = self.state();
-        if id.is_client() {
-            return state.client_connected(id);
-        }
-        let Some(connection) = state.connections.get_mut(&id) else { return };
-        let message = connection.first_message.take();
-        if let ConnectionKind::Server { server, process, call: Some(call) } = connection.kind {
-            // If connecting took long, the server may be draining by now, and its grace period over; or
-            // another build may run at its address, which must not get more than its cap.
-            let is_unchanged =
-                |listed: &ListedServer| listed.condition == Condition::Healthy && listed.process == process;
-            if !state.servers.get(&server).is_some_and(is_unchanged) {
-                if let ServerCall::Attempt(request, attempt) = call {
-                    state.abandon_attempt(
-                        request,
-                        attempt,
-                        AttemptOutcome::ConnectFailed,
-                        CloseReason::Unlisted,
-                    );
-                }
-                return;
-            }
-            if let ServerCall::Attempt(..) = call {
-                state.set_deadline(id, None);
-            }
-        }
-        if let Some(message) = message {
-            state.write(id, message);
-        }
-    }
-
-    fn written(&mut self, id: ConnectionId) {
-        let mut state = self.state();
-        let now = state.now;
-        let Some(connection) = state.connections.get_mut(&id) else { return };
-        (connection.write_pending, connection.idle_since) = (false, now);
-        if let ConnectionKind::Client { request: None, last: false, .. } = connection.kind {
-            drop(state);
-            self.read_client(id);
-            self.state().shed_idle_clients();
-        }
-    }
-
-    fn received(&mut self, id: ConnectionId, arrived_at: Micros, bytes: &[u8]) {
-        let mut state = self.state();
-        let Some(connection) = state.connections.get_mut(&id) else {
-            drop(state);
-            return self.session_bytes_received(id, bytes);
-        };
-        connection.buffer.push(bytes);
-        (connection.last_received_at, connection.closing) = (arrived_at, None);
-        match connection.kind {
-            ConnectionKind::Client { last: true, .. } => state.consume(id, bytes.len()),
-            ConnectionKind::Client { .. } => {
-                drop(state);
-                self.read_client(id);
-            }
-            ConnectionKind::Server { .. } | ConnectionKind::List | ConnectionKind::Vote => {
-                drop(state);
-                self.read_answer(id, false);
-            }
-            ConnectionKind::Watch(_) | ConnectionKind::EventStream(_) => {
-                drop(state);
-                self.read_stream(id);
-            }
-        }
-    }
-
-    /// The peer has closed a connection.
-    fn closed(&mut self, id: ConnectionId) {
-        let expects_answer = |kind: &ConnectionKind| {
-            matches!(kind, ConnectionKind::Server { .. } | ConnectionKind::List | ConnectionKind::Vote)
-        };
-        let has_partial_answer = |connection: &ConnectionState| {
-            expects_answer(&connection.kind) && !connection.buffer.is_empty() && !connection.write_pending
-        };
-        let has_partial_answer = self.state().connections.get(&id).map(has_partial_answer);
-        let Some(has_partial_answer) = has_partial_answer else { return self.session_connection_ended(id) };
-        // An answer without a length ends with its connection.
-        if has_partial_answer && self.read_answer(id, true) {
-            return;
-        }
-        let write_pending =
-            self.state().connections.get(&id).is_some_and(|connection| connection.write_pending);
-        let reason =
-            if write_pending && !id.is_client() { CloseReason::NoConnect } else { CloseReason::Broke };
-        self.connection_failed(id, reason, true);
-    }
-
-    /// A connection's deadline has passed.
-    fn connection_timed_out(&mut self, id: ConnectionId) {
-        let mut state = self.state();
-        let Some(connection) = state.connections.get(&id) else { return };
-        let reason = match connection.kind {
-            ConnectionKind::Client { last: true, .. } => CloseReason::LastMessage,
-            ConnectionKind::Client { .. } if connection.write_pending => CloseReason::Slow,
-            ConnectionKind::Client { .. } if !connection.buffer.is_empty() => {
-                state.log(format!("client conn={id} answered 408"));
-                return state.answer(id, client::status_only(408, true), true);
-            }
-            ConnectionKind::Client { answered: true, .. } => {
-                return state.close_if_idle(id, CloseReason::Idle);
-            }
-            ConnectionKind::Client { .. } => return state.close_if_idle(id, CloseReason::Mute),
-            ConnectionKind::Server { call: None, .. } => CloseReason::Idle,
-            ConnectionKind::Server { .. } if connection.write_pending => CloseReason::NoConnect,
-            ConnectionKind::Server { .. } if !connection.buffer.is_empty() => CloseReason::Slow,
-            _ => CloseReason::Silent,
-        };
-        drop(state);
-        self.connection_failed(id, reason, false);
-    }
-
-    /// A connection ends without a complete answer. `closed_by_peer` says that it has ended already;
-    /// otherwise it is closed from this side.
-    pub(super) fn connection_failed(&mut self, id: ConnectionId, reason: CloseReason, closed_by_peer: bool) {
-        let mut state = self.state();
-        let Some(connection) = state.connections.get(&id) else { return };
-        let write_pending = connection.write_pending;
-        let reason = match connection.kind {
-            _ if closed_by_peer && connection.closing.is_some() => connection.closing.unwrap_or(reason),
-            ConnectionKind::Client { request: Some(_), .. } if closed_by_peer => CloseReason::ClientLeft,
-            ConnectionKind::Client { .. } | ConnectionKind::Server { call: None, .. } if closed_by_peer => {
-                CloseReason::PeerClosed
-            }
-            _ => reason,
-        };
-        let removed =
-            if closed_by_peer { state.remove_connection(id, reason) } else { state.close(id, reason) };
-        let Some(connection) = removed else { return };
-        let now = state.now;
-        match connection.kind {
-            ConnectionKind::Client { request: Some(request), .. } => {
-                if let Some(request) = state.requests.get_mut(&request) {
-                    request.client = None;
-                }
-                drop(state);
-                self.decisions.client_disconnected(request);
-                self.state().remove_if_finished(request);
-            }
-            ConnectionKind::Server { server, call: Some(call), .. } => {
-                // A request can't have been executed before its last byte was written; after that it may have
-                // been.
-                let outcome =
-                    if write_pending { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Reset };
-                match call {
-                    ServerCall::Attempt(request, attempt) => {
-                        state.end_attempt(request, attempt, outcome, Vec::new());
-                    }
-                    ServerCall::Probe(sent_at) => {
-                        state.pending_reports.push_back(Report::Probe(
-                            server,
-                            outcome,
-                            now - sent_at,
-                            vec![],
-                        ));
-                    }
-                }
-            }
-            ConnectionKind::List | ConnectionKind::Watch(_) => {
-                state.pending_reports.push_back(Report::ListFailed);
-            }
-            ConnectionKind::Vote => {
-                let result = if write_pending { VoteResult::Error } else { VoteResult::Unknown };
-                state.pending_reports.push_back(Report::Vote(result));
-            }
-            ConnectionKind::EventStream(_) => state.retry_event_stream_later(),
-            ConnectionKind::Client { request: None, .. } | ConnectionKind::Server { call: None, .. } => {}
-        }
-    }
-
-    // ---- clients ----
-
-    /// Handles the messages of a client that has no open request and has read its last answer.
-    fn read_client(&mut self, id: ConnectionId) {
-        loop {
-            let mut state = self.state();
-            let now = state.now;
-            let Some(connection) = state.connections.get(&id) else { return };
-            let ConnectionKind::Client { request: None, last: false, surplus, .. } = connection.kind else {
-                return;
-            };
-            if connection.write_pending {
-                return;
-            }
-            let waited = now - connection.last_received_at;
-            let message = match http::parse_request(connection.buffer.data()) {
-                Ok(Some((message, used))) => {
-                    state.consume(id, used);
-                    message
-                }
-                Ok(None) if connection.buffer.data().len() < MAX_UNREAD_BYTES => {
-                    return state.await_client_message(id);
-                }
-                Ok(None) => return state.answer(id, client::status_only(413, true), true),
-                Err(fault) => {
-                    // The connection ends: where its next message begins is unknown.
-                    state.log(format!("client conn={id} unreadable: {fault:?}"));
-                    let status = client::status_of_fault(fault);
-                    return state.answer(id, client::status_only(status, true), true);
-                }
-            };
-            let last = !message.keep_alive || state.stopping || surplus;
-            let upgrades = state.session_table.as_ref().and_then(|table| table.settings.as_ref());
-            match client::classify(message, &state.profiles, waited, upgrades) {
-                ClientMessage::HealthCheck => {
-                    let status = if state.stopping || state.servers.is_empty() { 503 } else { 200 };
-                    state.answer(id, client::status_only(status, last), last);
-                }
-                ClientMessage::Invalid(status) => {
-                    state.log(format!("client conn={id} answered {status}"));
-                    state.answer(id, client::status_only(status, last), last);
-                }
-                ClientMessage::UpgradeRefused(refusal) => {
-                    state.log(format!("client conn={id} upgrade refused: {refusal:?}"));
-                    state.answer(id, client::upgrade_refused(refusal, last), last);
-                }
-                ClientMessage::Request { request, .. } if state.is_open(&request.id) => {
-                    // With the same id twice, an answer or an attempt could be taken for the other request's.
-                    state.log(format!("client conn={id} answered 400: its id is open already"));
-                    state.answer(id, client::status_only(400, true), true);
-                }
-                ClientMessage::Request { .. }
-                    if surplus || state.requests.len() >= state.max_open_requests =>
-                {
-                    state.count_refusal(if surplus { Cause::Descriptors } else { Cause::MaxOpen });
-                    state.answer(id, client::rejected(None, last), last);
-                }
-                ClientMessage::Request { arrival, mut request } => {
-                    let session = match state.admit_upgrade(id, &arrival, &mut request) {
-                        Ok(session) => session,
-                        Err(UpgradeRejected { retry_after }) => {
-                            state.count_refusal(Cause::Session);
-                            state.answer(id, client::rejected(Some(retry_after), last), last);
-                            continue;
-                        }
-                    };
-                    if session.is_some() {
-                        // An opening that it replaces is abandoned before its first attempt is sent.
-                        drop(state);
-                        self.run_sessions();
-                        state = self.state();
-                    }
-                    let deadline = state.answer_deadline(arrival.time_left);
-                    let open_request =
-                        OpenRequest { client: Some(id), request, deadline, attempts: Vec::new() };
-                    let number = state.add_request(open_request);
-                    session.into_iter().for_each(|session| state.add_session(session, number));
-                    if let Some(ConnectionState {
-                        kind: ConnectionKind::Client { request, last: is_last, .. },
-                        ..
-                    }) = state.connections.get_mut(&id)
-                    {
-                        (*request, *is_last) = (Some(number), last);
-                    }
-                    state.set_deadline(id, None);
-                    drop(state);
-                    self.decisions.request_arrived(number, arrival);
-                    self.state().remove_if_finished(number);
-                }
-            }
-        }
-    }
-
-    // ---- answers to the gateway's own requests ----
-
-    /// Reads the answer on a connection. True if it was complete, or can't be read; false if more of it is to
-    /// come.
-    fn read_answer(&mut self, id: ConnectionId, ended: bool) -> bool {
-        let mut state = self.state();
-        let Some(connection) = state.connections.get(&id) else { return true };
-        let is_server = matches!(connection.kind, ConnectionKind::Server { .. });
-        let is_idle = matches!(connection.kind, ConnectionKind::Server { call: None, .. });
-        // Bytes that arrived before the attempt was completely written are not its answer, but belong to an
-        // earlier one and arrived late. The drawback: if the system clock is set forward, the running
-        // attempts fail.
-        let is_unasked =
-            is_idle || connection.write_pending || connection.last_received_at < connection.last_request_at;
-        if is_server && is_unasked {
-            if let Some(connection) = state.connections.get_mut(&id) {
-                connection.write_pending = false;
-            }
-            drop(state);
-            self.connection_failed(id, CloseReason::Unasked, ended);
-            return true;
-        }
-        if let ConnectionKind::Server { call: Some(ServerCall::Attempt(request, _)), .. } = connection.kind
-            && state.is_upgrade(request)
-            && let Ok(Some((answer, used))) = http::parse_switching_protocols(connection.buffer.data())
-        {
-            drop(state);
-            self.open_session(id, &answer, used, ended);
-            return true;
-        }
-        match http::parse_answer(connection.buffer.data(), ended) {
-            Ok(None) if connection.buffer.data().len() < MAX_UNREAD_BYTES => {
-                if is_server {
-                    // An answer that never becomes complete is recognized while its request may still be
-                    // retried. The drawback: an answer that is written this slowly is lost.
-                    let deadline = state.now + ANSWER_REST_TIMEOUT;
-                    let deadline = connection.deadline.map_or(deadline, |earlier| earlier.min(deadline));
-                    state.set_deadline(id, Some(deadline));
-                }
-                false
-            }
-            Ok(Some((message, used))) => {
-                state.consume(id, used);
-                drop(state);
-                self.handle_answer(id, message, ended);
-                true
-            }
-            fault => {
-                drop(state);
-                let reason = fault.err().map_or(CloseReason::TooLarge, CloseReason::from);
-                self.connection_failed(id, reason, ended);
-                true
-            }
-        }
-    }
-
-    /// Handles a complete answer to an attempt, a probe, a vote or a call for the list.
-    fn handle_answer(&mut self, id: ConnectionId, answer: Message, ended: bool) {
-        let mut state = self.state();
-        let Some(connection) = state.connections.get(&id) else { return };
-        match connection.kind {
-            ConnectionKind::Server { server, call: Some(call), .. } => {
-                drop(state);
-                self.handle_server_answer(id, server, call, &answer, ended);
-            }
-            ConnectionKind::Vote => {
-                let (result, status) = platform::vote_result(&answer);
-                state.log(format!("vote taken: {result:?}"));
-                state.close(id, CloseReason::LastMessage);
-                drop(state);
-                if let Some(status) = status {
-                    self.rollout_status_received(status);
-                }
-                self.decisions.vote_answered(result);
-            }
-            ConnectionKind::List if answer.status == 200 => {
-                let list = discovery::parse_list(&answer.body, &state.known_names);
-                drop(state);
-                match list {
-                    Ok(list) => {
-                        self.state().close(id, CloseReason::LastMessage);
-                        self.list_received(list);
-                    }
-                    Err(fault) => {
-                        self.state().log(format!("list unreadable: {fault}"));
-                        self.connection_failed(id, CloseReason::Malformed, false);
-                    }
-                }
-            }
-            ConnectionKind::List => {
-                drop(state);
-                self.connection_failed(id, CloseReason::Refused, false);
-            }
-            _ => {}
-        }
-    }
-
-    fn handle_server_answer(
-        &mut self, id: ConnectionId, server: ServerId, call: ServerCall, answer: &Message, ended: bool,
-    ) {
-        let mut state = self.state();
-        let now = state.now;
-        let mut outcome = instance::attempt_outcome(answer);
-        let load = instance::load_report(answer, &state.load_fields);
-        match call {
-            ServerCall::Probe(sent_at) => {
-                state.pending_reports.push_back(Report::Probe(server, outcome, now - sent_at, load));
-            }
-            ServerCall::Attempt(request, attempt) => {
-                if outcome == AttemptOutcome::Succeeded && state.is_upgrade(request) {
-                    // The server executed the request, but did not open a session.
-                    outcome = AttemptOutcome::Error;
-                }
-                if outcome == AttemptOutcome::Succeeded {
-                    state.answer_request(request, |last| client::finished(&answer.body, last));
-                }
-                state.end_attempt(request, attempt, outcome, load);
-            }
-        }
-        state.release_server_connection(id, answer.keep_alive && !ended);
-    }
-
+    /// Applies a list of servers, or changes to it, and passes it on to the decisions.
     fn list_received(&mut self, list: List) {
         let whole = list.whole;
         let servers = self.state().apply_list(list);
@@ -656,85 +264,6 @@
             None => {}
         }
     }
-
-    // ---- streams ----
-
-    /// Reads the stream of the list's changes, or of the platform's events.
-    fn read_stream(&mut self, id: ConnectionId) {
-        let mut state = self.state();
-        let Some(connection) = state.connections.get_mut(&id) else { return };
-        let (ConnectionKind::Watch(stream) | ConnectionKind::EventStream(stream)) = &mut connection.kind
-        else {
-            return;
-        };
-        let fed = stream.feed(connection.buffer.data());
-        let text = std::mem::take(&mut stream.text);
-        let is_watch = matches!(connection.kind, ConnectionKind::Watch(_));
-        match fed {
-            Ok(used) => state.consume(id, used),
-            Err(end) => {
-                drop(state);
-                let reason = match end {
-                    StreamEnd::Refused => CloseReason::Refused,
-                    StreamEnd::LastChunk => CloseReason::LastMessage,
-                    StreamEnd::Fault(fault) => fault.into(),
-                };
-                return self.connection_failed(id, reason, false);
-            }
-        }
-        let deadline = if is_watch { state.list_deadline() } else { state.event_stream_deadline() };
-        state.set_deadline(id, Some(deadline));
-        drop(state);
-        let rest = if is_watch { self.read_list_changes(id, text) } else { self.read_events(id, text) };
-        let mut state = self.state();
-        if let Some(ConnectionKind::Watch(stream) | ConnectionKind::EventStream(stream)) =
-            state.connections.get_mut(&id).map(|connection| &mut connection.kind)
-        {
-            stream.text = rest;
-        }
-    }
-
-    /// Applies the complete lines of the list's changes; returns the incomplete line at the end.
-    fn read_list_changes(&mut self, id: ConnectionId, mut text: Vec<u8>) -> Vec<u8> {
-        while let Some(end) = text.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = text.drain(..=end).collect();
-            if line.trim_ascii().is_empty() {
-                continue;
-            }
-            let list = discovery::parse_list(&line, &self.state().known_names);
-            match list {
-                Ok(list) => self.list_received(list),
-                Err(fault) => {
-                    self.state().log(format!("list unreadable: {fault}"));
-                    self.connection_failed(id, CloseReason::Malformed, false);
-                    return Vec::new();
-                }
-            }
-        }
-        text
-    }
-
-    /// Handles the complete events of the platform; returns the incomplete event at the end. A stream with an
-    /// unreadable event is closed: the event would not be sent again, whereas a new stream begins with the
-    /// platform's state.
-    fn read_events(&mut self, id: ConnectionId, mut text: Vec<u8>) -> Vec<u8> {
-        for event in platform::take_events(&mut text) {
-            match event {
-                StreamEvent::RolloutStatus(status) => self.rollout_status_received(status),
-                StreamEvent::KeepAlive => {}
-                StreamEvent::UnknownKind(text) => {
-                    self.state().log(format!("notice left out: {text:?}"));
-                }
-                StreamEvent::Unreadable(text) => {
-                    self.state().log(format!("notice unreadable: {text:?}"));
-                    self.connection_failed(id, CloseReason::Malformed, false);
-                    return Vec::new();
-                }
-            }
-            self.state().reset_event_stream_backoff();
-        }
-        text
-    }
 }
 
 /// Whether the process may exit after the signal to stop: the listener is closed, all requests are answered,
--- a/crates/garnetdoor-gateway/src/state/servers.rs
+++ b/crates/garnetdoor-gateway/src/state/servers.rs
@@ -10,8 +10,8 @@
 use crate::event::{CloseReason, ConnectionId, Effect};
 use crate::wire::discovery::List;
 
-/// A list call that is silent for so long has failed. The list service sends something every 2 s, and the
-/// decisions take its list as current for 6 s.
+/// After this time without data a list call has failed. The list service sends something every 2 s, and the
+/// decisions treat its list as current for 6 s.
 const LIST_TIMEOUT: Micros = 4_500 * MS;
 
 /// Identifies a server's process by the list: a server id or an address may come back with another process.
--- a/crates/garnetdoor-gateway/src/state/sessions.rs
+++ b/crates/garnetdoor-gateway/src/state/sessions.rs
@@ -2,36 +2,29 @@
 //! Ordinary requests are not affected; without the operator file's `websocket` section there is no session
 //! table at all.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-use garnetdoor::host::{
-    Arrival, AttemptNo, AttemptOutcome, BuildNo, Condition, Micros, ProfileId, RequestId, ServerId,
-};
+use garnetdoor::host::{Arrival, BuildNo, Condition, Micros, ProfileId, RequestId, ServerId};
 use garnetdoor_operator::{Operator, Websocket};
-use garnetdoor_sessions::{
-    Act, Admission, End, Glance, Key, Opening, Party, Repeats, SessionId, Sessions, Side,
-};
+use garnetdoor_sessions::{Admission, Key, Opening, Party, Repeats, SessionId, Sessions, Side};
 
-use super::connections::{ConnectionKind, ServerCall};
-use super::gateway_state::{GatewayState, MS};
-use super::reducer::Reducer;
-use super::refusals::Cause;
+use super::connections::ConnectionKind;
+use super::gateway_state::GatewayState;
 use super::servers::{ListedServer, ServerProcess};
-use super::timers::{Timer, TimerKey};
-use crate::event::{CloseReason, ConnectionId, Effect, SessionClose, SessionJoin};
-use crate::wire::client::{self, ForwardedRequest};
-use crate::wire::http::Message;
+use super::timers::TimerKey;
+use crate::event::{ConnectionId, Effect, SessionJoin};
+use crate::wire::client::ForwardedRequest;
 
 /// The request and the connections of a session.
-struct SessionEntry {
-    request: RequestId,
+pub(super) struct SessionEntry {
+    pub(super) request: RequestId,
     /// The client's and the server's connection, once the session is open.
-    connections: Option<[ConnectionId; 2]>,
+    pub(super) connections: Option<[ConnectionId; 2]>,
     /// Whether each of the two connections has ended.
-    ended: [bool; 2],
+    pub(super) ended: [bool; 2],
     /// Set until the two connections are joined.
-    pending_join: Option<Box<SessionJoin>>,
+    pub(super) pending_join: Option<Box<SessionJoin>>,
 }
 
 /// What is kept of sessions in addition to the state of `garnetdoor-sessions`.
@@ -39,16 +32,16 @@
     pub sessions: Sessions,
     /// The operator file's section; `None` once a reload has removed it.
     pub settings: Option<Websocket>,
-    by_request: BTreeMap<RequestId, SessionId>,
-    by_connection: BTreeMap<ConnectionId, (SessionId, Side)>,
-    entries: BTreeMap<SessionId, SessionEntry>,
+    pub(super) by_request: BTreeMap<RequestId, SessionId>,
+    pub(super) by_connection: BTreeMap<ConnectionId, (SessionId, Side)>,
+    pub(super) entries: BTreeMap<SessionId, SessionEntry>,
     /// The addresses that ordinary client connections come from.
     client_addresses: BTreeMap<ConnectionId, IpAddr>,
     /// Whether the list or the platform's state has changed since the shares of builds were passed on.
     pub shares_outdated: bool,
     /// The timer for what is due next at the sessions.
-    timer: Option<TimerKey>,
-    sample_timer_set: bool,
+    pub(super) timer: Option<TimerKey>,
+    pub(super) sample_timer_set: bool,
 }
 
 /// An upgrade is rejected; the client may retry after this time.
@@ -208,13 +201,13 @@
     }
 
     /// Writes to a connection that belongs to a session, and is not among the ordinary connections any more.
-    fn write_to_session(&mut self, id: ConnectionId, bytes: Vec<u8>) {
+    pub(super) fn write_to_session(&mut self, id: ConnectionId, bytes: Vec<u8>) {
         self.effects.push(Effect::Write(id, bytes));
     }
 
     /// Makes the client's connection of an aborted session an ordinary one that has had its last message. The
     /// client has a short time to read the close frame and to close the connection.
-    fn release_client_of_aborted(&mut self, session: SessionId) {
+    pub(super) fn release_client_of_aborted(&mut self, session: SessionId) {
         let entry = self.session_table.as_ref().and_then(|table| table.entries.get(&session));
         let Some([client, _]) = entry.filter(|entry| !entry.ended[0]).and_then(|entry| entry.connections)
         else {
@@ -222,7 +215,7 @@
         };
         let kind = ConnectionKind::Client {
             request: None,
-            last: true,
+            last_message_read: true,
             surplus: false,
             answered: true,
             message_started: false,
@@ -231,268 +224,3 @@
         self.set_linger_deadline(client);
     }
 }
-
-impl Reducer {
-    /// Carries out what the sessions ask for, and sets the timers for what is due next.
-    pub(super) fn run_sessions(&mut self) {
-        if self.state().session_table.is_none() {
-            return;
-        }
-        self.report_shares();
-        loop {
-            let acts =
-                self.state().session_table.as_mut().map(|table| table.sessions.acts()).unwrap_or_default();
-            if acts.is_empty() {
-                break;
-            }
-            acts.into_iter().for_each(|act| self.carry_out(act));
-        }
-        let state = &mut *self.state();
-        let Some(table) = &mut state.session_table else { return };
-        let due = table.sessions.due();
-        if table.timer.map(|(at, _)| at) != due {
-            if let Some(timer) = table.timer.take() {
-                state.timers.cancel(timer);
-            }
-            table.timer = due.map(|at| state.timers.set(at, Timer::Sessions));
-        }
-        if !table.sample_timer_set && !table.by_connection.is_empty() {
-            table.sample_timer_set = true;
-            state.timers.set(state.now + table.sessions.limits().glances(), Timer::SessionSamples);
-        }
-    }
-
-    /// Reports to the sessions which builds are on trial, and the shares that the decisions allow them.
-    fn report_shares(&mut self) {
-        let state = &mut *self.state.borrow_mut();
-        let Some(table) = state.session_table.as_mut().filter(|table| table.shares_outdated) else { return };
-        table.shares_outdated = false;
-        let builds: BTreeSet<BuildNo> = state.servers.values().map(|listed| listed.process.build).collect();
-        let shares =
-            builds.into_iter().filter_map(|build| Some((build, self.decisions.exposure_cap(build)?)));
-        table.sessions.told(state.now, shares.collect());
-    }
-
-    pub(super) fn session_timer_due(&mut self) {
-        let mut state = self.state();
-        let now = state.now;
-        if let Some(table) = &mut state.session_table {
-            table.timer = None;
-            table.sessions.tick(now);
-        }
-    }
-
-    pub(super) fn sample_timer_due(&mut self) {
-        let mut state = self.state();
-        if let Some(table) = &mut state.session_table {
-            table.sample_timer_set = false;
-            if !table.by_connection.is_empty() {
-                state.effects.push(Effect::SampleSessions);
-            }
-        }
-    }
-
-    fn carry_out(&mut self, act: Act) {
-        let mut state = self.state();
-        match act {
-            Act::GiveUp { session, come_back_in } => {
-                let entry = state.session_table.as_mut().and_then(|table| table.entries.remove(&session));
-                drop(state);
-                if let Some(entry) = entry {
-                    self.abandon_upgrade(entry.request, come_back_in);
-                }
-            }
-            Act::Close { session, client, server, again_in, .. } => {
-                let again = again_in.map(|wait| format!("again-in-ms={}", wait / MS));
-                let reasons = [again.unwrap_or_default(), String::new()];
-                let mask = (state.random.rand_u64() as u32).to_be_bytes();
-                let close = SessionClose { codes: [client, server], reasons, mask };
-                state.effects.push(Effect::CloseSession(session, Box::new(close)));
-            }
-            Act::Cut { session, client, .. } => {
-                let entry = state.session_table.as_ref().and_then(|table| table.entries.get(&session));
-                if let Some(connections) = entry.and_then(|entry| entry.connections) {
-                    state.effects.push(Effect::AbortSession(session, client, connections));
-                    state.release_client_of_aborted(session);
-                }
-            }
-            Act::Ping(session, side) => {
-                let mask = (state.random.rand_u64() as u32).to_be_bytes();
-                state.effects.push(Effect::Ping(session, side, mask));
-            }
-            Act::Judge { server, build, profile, failed } => {
-                drop(state);
-                self.decisions.session_judged(server, build, profile, failed);
-            }
-            Act::Ended { session, why, stood } => {
-                state.effects.push(Effect::ForgetSession(session));
-                let Some(table) = &mut state.session_table else { return };
-                let connections = table.entries.remove(&session).and_then(|entry| entry.connections);
-                for connection in connections.iter().flatten() {
-                    table.by_connection.remove(connection);
-                }
-                let stood_ms = stood / MS;
-                state.log(format!("end session={session} code={} stood_ms={stood_ms}", why.code()));
-            }
-        }
-    }
-
-    /// Abandons an upgrade because another one has replaced it: its client is answered at once, and its
-    /// attempts are stopped.
-    fn abandon_upgrade(&mut self, request: RequestId, retry_after: Micros) {
-        let mut state = self.state();
-        state.count_refusal(Cause::Session);
-        state.answer_request(request, |last| client::rejected(Some(retry_after), last));
-        drop(state);
-        self.decisions.client_disconnected(request);
-        self.stop_attempts(request, None);
-        self.deliver_reports();
-        self.state().remove_if_finished(request);
-    }
-
-    /// Stops the running attempts of a request, except for one.
-    fn stop_attempts(&mut self, request: RequestId, except: Option<AttemptNo>) {
-        let mut state = self.state();
-        let count = state.requests.get(&request).map_or(0, |request| request.attempts.len() as u32);
-        for attempt in (0..count).map(AttemptNo).filter(|attempt| Some(*attempt) != except) {
-            state.abandon_attempt(request, attempt, AttemptOutcome::Cancelled, CloseReason::Stopped);
-        }
-    }
-
-    /// A server has answered an upgrade with a complete 101 answer, which takes `used` of the bytes that were
-    /// read. Opens the session, if the answer agrees with the offer and the client is still there.
-    pub(super) fn open_session(&mut self, id: ConnectionId, answer: &Message, used: usize, ended: bool) {
-        let mut state = self.state();
-        let Some(connection) = state.connections.get(&id) else { return };
-        let ConnectionKind::Server { server, process, call: Some(ServerCall::Attempt(request, attempt)) } =
-            connection.kind
-        else {
-            return;
-        };
-        let Some(open_request) = state.requests.get(&request) else { return };
-        let Some(upgrade) = &open_request.request.upgrade else { return };
-        let agreement = match upgrade.offer.agreed(answer.fields()) {
-            Ok(agreement) if !ended => agreement,
-            Ok(_) => {
-                drop(state);
-                return self.connection_failed(id, CloseReason::Broke, true);
-            }
-            Err(lie) => {
-                state.log(format!("server conn={id} answered an upgrade wrongly: {lie:?}"));
-                drop(state);
-                return self.connection_failed(id, CloseReason::Malformed, ended);
-            }
-        };
-        let session = state.session_table.as_ref().and_then(|table| table.by_request.get(&request)).copied();
-        let (Some(client), Some(session)) = (open_request.client, session) else {
-            // The client has left or was answered, so that there is nothing to join the server's connection
-            // with.
-            state.close(id, CloseReason::Stopped);
-            return state.end_attempt(request, attempt, AttemptOutcome::Succeeded, Vec::new());
-        };
-        state.consume(id, used);
-        let (Some(client_connection), Some(server_connection)) =
-            (state.connections.remove(&client), state.connections.remove(&id))
-        else {
-            return;
-        };
-        state.forget_client_address(client);
-        if let Some(request) = state.requests.get_mut(&request) {
-            request.client = None;
-        }
-        state.write_to_session(client, agreement.head());
-        state.end_attempt(request, attempt, AttemptOutcome::Succeeded, Vec::new());
-        let condition = match state.servers.get(&server) {
-            Some(listed) if listed.process == process => listed.condition,
-            _ => Condition::Gone,
-        };
-        let now = state.now;
-        let Some(table) = &mut state.session_table else { return };
-        let join = Box::new(SessionJoin {
-            session,
-            connections: [client, id],
-            already_read: [
-                client_connection.buffer.data().to_vec(),
-                server_connection.buffer.data().to_vec(),
-            ],
-            compressed: agreement.compresses(),
-            max_message_bytes: table.sessions.limits().message_most,
-        });
-        table.by_connection.extend([(client, (session, Side::Client)), (id, (session, Side::Server))]);
-        if let Some(entry) = table.entries.get_mut(&session) {
-            entry.connections = Some([client, id]);
-            entry.pending_join = Some(join.clone());
-        }
-        table.sessions.opened(now, session, server, process.build, condition);
-        state.effects.push(Effect::JoinSession(join));
-        state.log(format!("session={session} open conns={client},{id} build={}", process.build.0));
-        drop(state);
-        self.stop_attempts(request, Some(attempt));
-    }
-
-    /// Bytes of a session's connection that were read before the connections were joined: the join is tried
-    /// again with them.
-    pub(super) fn session_bytes_received(&mut self, id: ConnectionId, bytes: &[u8]) {
-        let mut state = self.state();
-        let Some(table) = &mut state.session_table else { return };
-        let Some((session, side)) = table.by_connection.get(&id).copied() else { return };
-        if let Some(join) = table.entries.get_mut(&session).and_then(|entry| entry.pending_join.as_mut()) {
-            join.already_read[side as usize].extend_from_slice(bytes);
-            let join = join.clone();
-            state.effects.push(Effect::JoinSession(join));
-        }
-    }
-
-    /// Whether a session's connections are joined now; if not, more bytes of one of them are still to come.
-    pub(super) fn session_joined(&mut self, session: SessionId, joined: bool) {
-        let mut state = self.state();
-        if let Some(entry) = state.session_table.as_mut().and_then(|table| table.entries.get_mut(&session))
-            && joined
-        {
-            entry.pending_join = None;
-        }
-    }
-
-    /// One of a session's connections has ended.
-    pub(super) fn session_connection_ended(&mut self, id: ConnectionId) {
-        let mut state = self.state();
-        let now = state.now;
-        let Some(table) = &mut state.session_table else { return };
-        let Some((session, side)) = table.by_connection.remove(&id) else { return };
-        if let Some(entry) = table.entries.get_mut(&session) {
-            entry.ended[side as usize] = true;
-            if entry.pending_join.take().is_some() {
-                // It ended before the two were joined: there is nothing to relay, and the other connection
-                // ends too.
-                let other = entry.connections.map(|connections| connections[side.other() as usize]);
-                table.sessions.ends(now, session, End::Gone(side));
-                if let Some(other) = other {
-                    state.effects.push(Effect::ShutdownWrite(other));
-                }
-                return;
-            }
-        }
-        table.sessions.ends(now, session, End::Gone(side));
-    }
-
-    /// The relay has seen something that ends or changes a session.
-    pub(super) fn session_event(&mut self, session: SessionId, end: End) {
-        let mut state = self.state();
-        let now = state.now;
-        if let Some(table) = &mut state.session_table {
-            table.sessions.ends(now, session, end);
-        }
-        if let End::Fault(side, code) = end {
-            state.log(format!("session={session} bad frame from {side:?}: {code}"));
-        }
-    }
-
-    /// The activity on the sessions' connections has been sampled.
-    pub(super) fn sessions_sampled(&mut self, samples: Vec<(SessionId, Glance)>) {
-        let mut state = self.state();
-        let now = state.now;
-        if let Some(table) = &mut state.session_table {
-            samples.into_iter().for_each(|(session, sample)| table.sessions.glanced(now, session, sample));
-        }
-    }
-}
--- a/crates/garnetdoor-gateway/src/wire/platform.rs
+++ b/crates/garnetdoor-gateway/src/wire/platform.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// NameTable and texts of the innermost elements of an XML document; `None` if it is not well formed or has no
-/// such element.
+/// NameTable and texts of the innermost elements of an XML document; `None` if it is not well formed or has
+/// no such element.
 fn leaf_elements(document: &[u8]) -> Option<Vec<(String, String)>> {
     let mut reader = Reader::from_str(str::from_utf8(document).ok()?);
     let (mut elements, mut text, mut depth) = (Vec::new(), String::new(), 0);
