--- a/crates/consensus/src/book.rs
+++ b/crates/consensus/src/book.rs
@@ -9,9 +9,9 @@
 use crate::lead::{Leading, NOBODY};
 use crate::leave::Leaving;
 use crate::log::Log;
-use crate::mark::Marks;
+use crate::mark::FingerprintHasher;
 use crate::stand::Votes;
-use crate::{Effect, Entry, Event, Members, Message, Saved, Timing, What, Word};
+use crate::{Effect, Entry, EntryPayload, Event, Members, Message, PersistentState, Rpc, Timing};
 
 /// Most places that are remembered to knock at.
 const MOST_PEERS: usize = 64;
@@ -38,9 +38,9 @@
 ///
 /// The driver carries effects out in order, one at a time. After each step it asks `due()` again. What has arrived is
 /// handed over before a tick that is due, so that a slow machine doesn't look for a leader whose word
-/// waits in its socket. It hands over `Event::Kept` often enough: entries since the last one stay in memory.
+/// waits in its socket. It hands over `Event::SnapshotTaken` often enough: entries since the last one stay in memory.
 #[derive(Clone)]
-pub struct Promptbook {
+pub struct RaftNode {
     pub(crate) own: VoterId,
     pub(crate) timing: Timing,
     pub(crate) chance: oorandom::Rand64,
@@ -73,31 +73,31 @@
     pub(crate) hasty: bool,
     /// The process is about to end: it takes no proposals and stands for nothing.
     pub(crate) leaving: Option<Leaving>,
-    /// What the last `Effect::Leader` said.
+    /// What the last `Effect::LeaderChanged` said.
     told: (Option<VoterId>, Term),
     pub(crate) out: Vec<Effect>,
 }
 
-impl Promptbook {
+impl RaftNode {
     /// Begins a life. `first`: only on the very first start of the whole system and on an empty disk, the same
     /// for everybody, with `own` among them. With an empty `saved` and no `first` it is no member, and knocks.
     pub fn start(
-        own: VoterId, first: Option<Members>, saved: Saved, timing: Timing, seed: u64, now: Micros,
-    ) -> (Promptbook, Vec<Effect>) {
+        own: VoterId, first: Option<Members>, saved: PersistentState, timing: Timing, seed: u64, now: Micros,
+    ) -> (RaftNode, Vec<Effect>) {
         let empty = saved.term == Term(0) && saved.snapshot.is_none() && saved.entries.is_empty();
         let holds = saved.entries.iter().map(|entry| entry.index).max().unwrap_or_default();
         let log = Log::open(saved.snapshot, saved.entries);
         let restored = log.snapshot_index();
         // What was committed then is so for ever, whoever leads now: it is handed out without asking anybody.
-        let committed = saved.committed.min(log.last()).max(restored);
-        let disk = Disk::open(saved.term, saved.voted, &log, holds, committed);
-        let mut book = Promptbook {
+        let committed = saved.commit_index.min(log.last()).max(restored);
+        let disk = Disk::open(saved.term, saved.voted_for, &log, holds, committed);
+        let mut book = RaftNode {
             own,
             timing,
             chance: oorandom::Rand64::new(u128::from(seed)),
             now,
             term: saved.term.max(log.last_term()),
-            voted: saved.voted.filter(|_| saved.term >= log.last_term()),
+            voted: saved.voted_for.filter(|_| saved.term >= log.last_term()),
             log,
             disk,
             commit: committed,
@@ -122,11 +122,15 @@
         if let (true, Some(members)) = (empty, first) {
             // The same first entry everywhere, in a term that nobody is elected in.
             book.term = Term(1);
-            book.log.append(Entry { index: LogIndex(1), term: Term(1), what: What::Members(members) });
+            book.log.append(Entry {
+                index: LogIndex(1),
+                term: Term(1),
+                payload: EntryPayload::Members(members),
+            });
         }
         book.told.1 = book.term;
         if book.is_member() {
-            book.next_knock = now + timing.knock;
+            book.next_knock = now + timing.join_interval;
         }
         book.arm();
         if !empty {
@@ -150,34 +154,34 @@
         match event {
             Event::Tick => self.tick(),
             Event::Received { from, message } => self.received(from, message),
-            Event::Propose { ask, data } => self.propose(ask, data),
-            Event::Read { ask } => self.read(ask),
+            Event::Propose { call: ask, data } => self.propose(ask, data),
+            Event::Read { call: ask } => self.read(ask),
             Event::Synced { write } => {
                 if self.disk.synced(write, self.log.last()) {
                     self.after_sync();
                 }
             }
             Event::WriteFailed { write } => {
-                if self.disk.failed(write, self.now + self.timing.election) {
+                if self.disk.failed(write, self.now + self.timing.election_timeout) {
                     self.give_up();
                 }
             }
-            Event::Peers { mut places } => {
+            Event::Peers { addresses: mut places } => {
                 places.truncate(MOST_PEERS);
                 if self.places.is_empty() && !self.is_member() {
                     self.next_knock = self.now;
                 }
                 self.places = places;
             }
-            Event::Kept { index, data } => self.kept(index, data),
-            Event::Prove => self.want_proof(),
-            Event::Leave => self.leaving = self.leaving.take().or_else(|| Some(Leaving::default())),
+            Event::SnapshotTaken { index, data } => self.kept(index, data),
+            Event::ConfirmQuorum => self.want_proof(),
+            Event::PrepareShutdown => self.leaving = self.leaving.take().or_else(|| Some(Leaving::default())),
         }
         self.finish()
     }
 
     /// When the next `Event::Tick` is wanted, at the latest; it may lie in the past.
-    pub fn due(&self) -> Micros {
+    pub fn next_tick_at(&self) -> Micros {
         let mut due = match &self.role {
             Role::Leading(lead) => lead.next_beat,
             Role::Asking(votes) | Role::Standing(votes) => self.deadline.min(votes.next_ask),
@@ -195,7 +199,7 @@
         self.disk.due().map_or(due, |write| due.min(write))
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leading(_))
     }
 
@@ -210,12 +214,12 @@
     }
 
     /// All entries up to here are known to be committed, and their commands were handed out.
-    pub fn committed(&self) -> LogIndex {
+    pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
 
     /// The end of the own log.
-    pub fn last(&self) -> LogIndex {
+    pub fn last_index(&self) -> LogIndex {
         self.log.last()
     }
 
@@ -229,10 +233,10 @@
     ///
     /// Of a drawn wait (`deadline`) only the election spans are told that it lasts at most, and the
     /// generator is not told at all: whoever lets timers ring at will misses only the exact lengths.
-    /// Write numbers, and what the last `Effect::Leader` said, follow from the rest.
+    /// Write numbers, and what the last `Effect::LeaderChanged` said, follow from the rest.
     pub fn fingerprint(&self, now: Micros) -> u64 {
-        let mut marks = Marks::new(self.now.max(now));
-        let Promptbook {
+        let mut marks = FingerprintHasher::new(self.now.max(now));
+        let RaftNode {
             own,
             timing,
             chance: _,
@@ -260,39 +264,42 @@
             told: _,
             out: _,
         } = self;
-        marks.put((own, term, voted, log, commit, applied, leader, verified));
-        marks.put((owes_vote, owes_round, coming, places, hasty, leaving.is_some()));
+        marks.add((own, term, voted, log, commit, applied, leader, verified));
+        marks.add((owes_vote, owes_round, coming, places, hasty, leaving.is_some()));
         if let Some(leaving) = leaving {
             leaving.mark(&mut marks);
         }
-        disk.mark(&mut marks, HUNG_ELECTIONS * timing.election);
+        disk.mark(&mut marks, HUNG_ELECTIONS * timing.election_timeout);
         if leader.is_none() {
             // Where there is a leader, the next knock is set anew when it is gone.
-            marks.put(marks.left(*next_knock));
-        } else if !self.leads() {
+            marks.add(marks.time_until(*next_knock));
+        } else if !self.is_leader() {
             // The last sign of life counts only as that of a leader that is still followed.
-            marks.put(heard_leader.map_or(timing.election, |at| marks.ago(at, timing.election)));
+            marks.add(
+                heard_leader
+                    .map_or(timing.election_timeout, |at| marks.time_since(at, timing.election_timeout)),
+            );
         }
-        if !self.leads() {
-            let span = timing.election.max(1);
-            marks.put((marks.left(*deadline) + span - 1) / span);
+        if !self.is_leader() {
+            let span = timing.election_timeout.max(1);
+            marks.add((marks.time_until(*deadline) + span - 1) / span);
         }
         match role {
-            Role::Following => marks.put(0u8),
+            Role::Following => marks.add(0u8),
             Role::Asking(votes) => {
-                marks.put(1u8);
+                marks.add(1u8);
                 votes.mark(&mut marks);
             }
             Role::Standing(votes) => {
-                marks.put(2u8);
+                marks.add(2u8);
                 votes.mark(&mut marks);
             }
             Role::Leading(lead) => {
-                marks.put(3u8);
+                marks.add(3u8);
                 lead.mark(&mut marks, timing, log.is_long());
             }
         }
-        marks.sum()
+        marks.value()
     }
 
     pub fn term(&self) -> Term {
@@ -300,7 +307,7 @@
     }
 
     /// What entries and snapshots take in memory here, those on their way to and from others with them, in bytes.
-    pub fn bytes(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         let led = match &self.role {
             Role::Leading(lead) => lead.snapshots(&self.log),
             _ => 0,
@@ -322,20 +329,20 @@
     }
 
     pub(crate) fn disk_well(&self) -> bool {
-        self.disk.well(self.now, HUNG_ELECTIONS * self.timing.election)
+        self.disk.well(self.now, HUNG_ELECTIONS * self.timing.election_timeout)
     }
 
-    pub(crate) fn say(&mut self, to: VoterId, word: Word) {
+    pub(crate) fn say(&mut self, to: VoterId, word: Rpc) {
         self.say_in(self.term, to, word);
     }
 
-    pub(crate) fn say_in(&mut self, term: Term, to: VoterId, word: Word) {
-        self.out.push(Effect::Send { to: to.address, message: Message::Said { to, term, word } });
+    pub(crate) fn say_in(&mut self, term: Term, to: VoterId, word: Rpc) {
+        self.out.push(Effect::Send { to: to.address, message: Message::Rpc { to, term, rpc: word } });
     }
 
     /// Sets the time after which a follower looks for another leader.
     pub(crate) fn arm(&mut self) {
-        let span = self.timing.election.max(1);
+        let span = self.timing.election_timeout.max(1);
         self.deadline = self.now + span + self.chance.rand_range(0..span as u64) as Micros;
     }
 
@@ -355,7 +362,7 @@
             self.verified = self.commit;
         }
         if self.leader.is_some() && leader.is_none() {
-            self.next_knock = self.now + self.timing.knock;
+            self.next_knock = self.now + self.timing.join_interval;
         }
         self.leader = leader;
         self.hasty &= leader.is_none();
@@ -380,7 +387,7 @@
     }
 
     fn tick(&mut self) {
-        if self.leads() {
+        if self.is_leader() {
             return self.beat();
         }
         if self.now >= self.deadline {
@@ -399,13 +406,13 @@
     }
 
     fn knock(&mut self) {
-        self.next_knock = self.now + self.timing.knock;
+        self.next_knock = self.now + self.timing.join_interval;
         let mut places = self.places.clone();
         places.extend(self.log.members().0.iter().map(|seat| seat.address));
         places.sort_unstable();
         places.dedup();
         for to in places.into_iter().filter(|place| *place != self.own.address) {
-            self.out.push(Effect::Send { to, message: Message::Knock });
+            self.out.push(Effect::Send { to, message: Message::JoinRequest });
         }
     }
 
@@ -414,36 +421,41 @@
             return;
         }
         match message {
-            Message::Knock if self.leads() => self.knocked(from),
-            Message::Knock => {
+            Message::JoinRequest if self.is_leader() => self.knocked(from),
+            Message::JoinRequest => {
                 let place = self.leader.map(|seat| seat.address).filter(|place| *place != from.address);
                 if let Some(place) = place {
-                    self.out.push(Effect::Send { to: from.address, message: Message::Leader { place } });
+                    self.out.push(Effect::Send {
+                        to: from.address,
+                        message: Message::LeaderHint { address: place },
+                    });
                 }
             }
-            Message::Leader { place } => {
+            Message::LeaderHint { address: place } => {
                 // Where the peers told are all that serve control, it was knocked at already.
                 let known = self.places.contains(&place) || place == self.own.address;
                 if self.leaderless()
                     && !known
                     && !self.log.members().0.iter().any(|seat| seat.address == place)
                 {
-                    self.out.push(Effect::Send { to: place, message: Message::Knock });
+                    self.out.push(Effect::Send { to: place, message: Message::JoinRequest });
                 }
             }
-            Message::Said { to, term, word } if to == self.own => self.heard(from, term, word),
-            Message::Said { .. } => {}
+            Message::Rpc { to, term, rpc: word } if to == self.own => self.heard(from, term, word),
+            Message::Rpc { .. } => {}
         }
     }
 
-    fn heard(&mut self, from: VoterId, term: Term, word: Word) {
+    fn heard(&mut self, from: VoterId, term: Term, word: Rpc) {
         match word {
-            Word::MayStand { last, last_term } => self.may_stand(from, term, last, last_term),
-            Word::MayStood { granted: true } => self.may_stood(from, term),
-            Word::Stand { last, last_term } => self.stand_asked(from, term, last, last_term),
-            Word::Append { .. } | Word::Beat { .. } | Word::Piece { .. } => {
+            Rpc::PreVoteRequest { last_index: last, last_term } => {
+                self.may_stand(from, term, last, last_term)
+            }
+            Rpc::PreVoteResponse { granted: true } => self.may_stood(from, term),
+            Rpc::VoteRequest { last_index: last, last_term } => self.stand_asked(from, term, last, last_term),
+            Rpc::AppendEntries { .. } | Rpc::Heartbeat { .. } | Rpc::InstallSnapshot { .. } => {
                 if term < self.term {
-                    self.say(from, Word::Late);
+                    self.say(from, Rpc::StaleTerm);
                 } else if self.accept(from, term) {
                     self.by_leader(from, word);
                 }
@@ -454,14 +466,22 @@
                 }
             }
             _ if term < self.term => {}
-            Word::Stood { granted: true } => self.stood(from),
-            Word::Stood { granted: false } | Word::MayStood { granted: false } | Word::Late => {}
-            Word::Appended { matched, got, round } => self.appended(from, matched, got, round),
-            Word::Gap { prev, hint, round } => self.gap(from, prev, hint, round),
-            Word::Taken { index, upto, round } => self.taken(from, index, upto, round),
-            Word::Go { next } => self.handed(from, next),
-            Word::Leaving { last } => self.asked_release(from, last),
-            Word::Released { upto } => self.released(from, upto),
+            Rpc::VoteResponse { granted: true } => self.stood(from),
+            Rpc::VoteResponse { granted: false }
+            | Rpc::PreVoteResponse { granted: false }
+            | Rpc::StaleTerm => {}
+            Rpc::AppendResponse { match_index: matched, received_index: got, round } => {
+                self.appended(from, matched, got, round)
+            }
+            Rpc::AppendRejected { prev_index: prev, retry_index: hint, round } => {
+                self.gap(from, prev, hint, round)
+            }
+            Rpc::SnapshotProgress { last_included_index: index, received_bytes: upto, round } => {
+                self.taken(from, index, upto, round)
+            }
+            Rpc::TransferLeadership { successor: next } => self.handed(from, next),
+            Rpc::ShutdownQuery { last_index: last } => self.asked_release(from, last),
+            Rpc::ShutdownApproved { up_to: upto } => self.released(from, upto),
         }
     }
 
@@ -484,7 +504,7 @@
 
     /// What an event leads to besides its own effects: commits, sends, answers, and the next write.
     fn finish(&mut self) -> Vec<Effect> {
-        if self.leads() {
+        if self.is_leader() {
             self.commit_more();
             if !self.leaves() {
                 self.tend_members();
@@ -495,7 +515,7 @@
             self.disk.committed(self.now, self.commit);
         }
         self.apply();
-        if self.leads() {
+        if self.is_leader() {
             self.answer_proof();
             self.answer_reads();
             self.pump();
@@ -509,7 +529,7 @@
         }
         if self.told != (self.leader, self.term) && (self.told.0 != self.leader || self.leader.is_some()) {
             self.told = (self.leader, self.term);
-            self.out.push(Effect::Leader { leader: self.leader, term: self.term });
+            self.out.push(Effect::LeaderChanged { leader: self.leader, term: self.term });
         }
         mem::take(&mut self.out)
     }
@@ -518,13 +538,13 @@
         while self.applied < self.commit {
             let index = LogIndex(self.applied.0 + 1);
             let entry = self.log.get(index).expect("what is committed and not handed out is in memory");
-            if let What::Command(data) = &entry.what {
+            if let EntryPayload::Command(data) = &entry.payload {
                 let data = data.clone();
                 let ask = match &mut self.role {
                     Role::Leading(lead) => lead.ask_at(index),
                     _ => None,
                 };
-                self.out.push(Effect::Apply { index, data, ask });
+                self.out.push(Effect::Apply { index, data, call: ask });
             }
             self.applied = index;
         }
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -3,15 +3,15 @@
 use types::{LogIndex, MS, Micros, Term, VoterId};
 
 use crate::log::Log;
-use crate::mark::Marks;
-use crate::{Write, WriteNo};
+use crate::mark::FingerprintHasher;
+use crate::{Write, WriteId};
 
 /// What is committed is written without anything else after it has not risen for so long.
 const LAZY: Micros = 200 * MS;
 
 #[derive(Clone)]
 struct UnderWay {
-    no: WriteNo,
+    no: WriteId,
     since: Micros,
     term: Term,
     voted: Option<VoterId>,
@@ -111,14 +111,14 @@
         if self.knows(term, voted) && snapshot.is_none() && good == last && self.holds <= good && !lazily {
             return None;
         }
-        let no = WriteNo(self.next);
+        let no = WriteId(self.next);
         self.next += 1;
         let write = Write {
-            no,
+            id: no,
             term,
-            voted,
-            committed,
-            cut_from: (self.holds > good).then_some(LogIndex(good.0 + 1)),
+            voted_for: voted,
+            commit_index: committed,
+            truncate_from: (self.holds > good).then_some(LogIndex(good.0 + 1)),
             entries: log.slice(LogIndex(good.0 + 1), usize::MAX),
             snapshot: snapshot.map(|snapshot| (**snapshot).clone()),
         };
@@ -131,7 +131,7 @@
     }
 
     /// True if this was the one under way.
-    pub(crate) fn synced(&mut self, no: WriteNo, last: LogIndex) -> bool {
+    pub(crate) fn synced(&mut self, no: WriteId, last: LogIndex) -> bool {
         let Some(write) = self.under_way.take_if(|write| write.no == no) else { return false };
         self.term = write.term;
         self.voted = write.voted;
@@ -144,19 +144,19 @@
     }
 
     /// Write numbers are left out: only the one under way is ever answered. `hung`: as in `well`.
-    pub(crate) fn mark(&self, marks: &mut Marks, hung: Micros) {
+    pub(crate) fn mark(&self, marks: &mut FingerprintHasher, hung: Micros) {
         let Disk { next: _, under_way, term, voted, stable, holds, snapshot, committed, lazily, retry } =
             self;
-        marks.put((term, voted, stable, holds, snapshot, committed));
-        marks.put((lazily.map(|at| marks.left(at)), retry.map(|at| marks.left(at))));
-        marks.put(under_way.is_some());
+        marks.add((term, voted, stable, holds, snapshot, committed));
+        marks.add((lazily.map(|at| marks.time_until(at)), retry.map(|at| marks.time_until(at))));
+        marks.add(under_way.is_some());
         if let Some(UnderWay { no: _, since, term, voted, upto, last, snapshot, committed }) = under_way {
-            marks.put((marks.ago(*since, hung), term, voted, upto, last, snapshot, committed));
+            marks.add((marks.time_since(*since, hung), term, voted, upto, last, snapshot, committed));
         }
     }
 
     /// True if this was the one under way. All that it held is written again with the next.
-    pub(crate) fn failed(&mut self, no: WriteNo, retry: Micros) -> bool {
+    pub(crate) fn failed(&mut self, no: WriteId, retry: Micros) -> bool {
         let Some(_) = self.under_way.take_if(|write| write.no == no) else { return false };
         self.retry = Some(retry);
         // Where it held nothing else, the next try still has something to write.
--- a/crates/consensus/src/follow.rs
+++ b/crates/consensus/src/follow.rs
@@ -2,9 +2,9 @@
 
 use types::{LogIndex, Term, VoterId};
 
-use crate::book::{Promptbook, Role};
+use crate::book::{RaftNode, Role};
 use crate::lead::NOBODY;
-use crate::{Entry, Members, Snapshot, Word};
+use crate::{Entry, Members, Rpc, Snapshot};
 
 /// Most bytes of a snapshot that is taken from a leader.
 const MOST_SNAPSHOT: u64 = 64 * 1024 * 1024;
@@ -25,10 +25,10 @@
     }
 }
 
-impl Promptbook {
+impl RaftNode {
     /// Takes `from` for the leader of `term`, which is the own one or newer. False if it can't be.
     pub(crate) fn accept(&mut self, from: VoterId, term: Term) -> bool {
-        if term == self.term && (self.leads() || self.leader.is_some_and(|leader| leader != from)) {
+        if term == self.term && (self.is_leader() || self.leader.is_some_and(|leader| leader != from)) {
             return false;
         }
         if self.leader != Some(from) || term > self.term || !matches!(self.role, Role::Following) {
@@ -46,18 +46,26 @@
         true
     }
 
-    pub(crate) fn by_leader(&mut self, from: VoterId, word: Word) {
+    pub(crate) fn by_leader(&mut self, from: VoterId, word: Rpc) {
         match word {
-            Word::Append { prev, prev_term, entries, commit, round } => {
+            Rpc::AppendEntries { prev_index: prev, prev_term, entries, commit_index: commit, round } => {
                 self.take_entries(prev, prev_term, entries, commit, round);
             }
-            Word::Beat { commit, round } => {
+            Rpc::Heartbeat { commit_index: commit, round } => {
                 self.take_commit(commit);
                 if let Some(round) = round {
                     self.answer(round);
                 }
             }
-            Word::Piece { index, index_term, members, total, at, data, round } => {
+            Rpc::InstallSnapshot {
+                last_included_index: index,
+                last_included_term: index_term,
+                members,
+                total_bytes: total,
+                offset: at,
+                data,
+                round,
+            } => {
                 self.take_piece(from, Snapshot { index, term: index_term, members, data }, total, at, round);
             }
             _ => {}
@@ -82,7 +90,10 @@
                 last if last < prev => last,
                 _ => LogIndex(self.log.run_start(prev).0.saturating_sub(1)),
             };
-            return self.say(leader, Word::Gap { prev, hint: hint.max(self.commit), round });
+            return self.say(
+                leader,
+                Rpc::AppendRejected { prev_index: prev, retry_index: hint.max(self.commit), round },
+            );
         }
         let upto = LogIndex(prev.0.saturating_add(entries.len() as u64));
         for entry in entries {
@@ -114,7 +125,11 @@
         let got = self.verified;
         self.say(
             leader,
-            Word::Appended { matched: got.min(self.disk.stable()).min(self.counted()), got, round },
+            Rpc::AppendResponse {
+                match_index: got.min(self.disk.stable()).min(self.acknowledgement_limit()),
+                received_index: got,
+                round,
+            },
         );
     }
 
@@ -144,7 +159,10 @@
         }
         let upto = coming.data.len() as u64;
         if upto < total {
-            return self.say(leader, Word::Taken { index, upto, round });
+            return self.say(
+                leader,
+                Rpc::SnapshotProgress { last_included_index: index, received_bytes: upto, round },
+            );
         }
         let data = self.coming.take().map(|coming| coming.data).unwrap_or_default();
         self.install(index, term, members, data);
--- a/crates/consensus/src/lead.rs
+++ b/crates/consensus/src/lead.rs
@@ -5,12 +5,12 @@
 
 use types::{CallId, LogIndex, Micros, NodeAddress, VoterId};
 
-use crate::book::{Promptbook, Role};
+use crate::book::{RaftNode, Role};
 use crate::log::{Log, weight};
-use crate::mark::Marks;
+use crate::mark::FingerprintHasher;
 use crate::proof::Proof;
 use crate::seats::{LEARNER_ELECTIONS, Rounds};
-use crate::{Effect, Entry, Message, Snapshot, Timing, What, Word};
+use crate::{Effect, Entry, EntryPayload, Message, Rpc, Snapshot, Timing};
 
 /// Most bytes of entries that are not committed; proposals beyond are refused.
 const MOST_OPEN: usize = 4 * 1024 * 1024;
@@ -118,31 +118,33 @@
     }
 
     /// `silence`: the longest that anything is told apart by, in microseconds.
-    fn mark(&self, marks: &mut Marks, timing: &Timing, silence: Micros, long: bool) {
+    fn mark(&self, marks: &mut FingerprintHasher, timing: &Timing, silence: Micros, long: bool) {
         let Peer { seat, since, heard, matched, next, mode, asked, asked_round, round, told, .. } = self;
         let Peer { sent_bytes, tries, again, moved, rounds, leaving, .. } = self;
-        let patience = self.patience(2 * timing.beat);
+        let patience = self.patience(2 * timing.heartbeat_interval);
         if let Some(rounds) = rounds {
-            rounds.mark(marks, timing.election);
+            rounds.mark(marks, timing.election_timeout);
         }
         if let Some(leaving) = leaving {
-            marks.put(marks.ago(*leaving, silence));
+            marks.add(marks.time_since(*leaving, silence));
         }
-        marks.put((seat, heard.is_some(), marks.ago(heard.unwrap_or(*since), silence), matched, next));
-        marks.put((marks.ago(*asked, patience), asked_round, round, told));
-        marks.put((sent_bytes.saturating_sub(LIGHT), tries, again));
+        marks.add((seat, heard.is_some(), marks.time_since(heard.unwrap_or(*since), silence), matched, next));
+        marks.add((marks.time_since(*asked, patience), asked_round, round, told));
+        marks.add((sent_bytes.saturating_sub(LIGHT), tries, again));
         // It decides only what is held of a long log.
-        marks.put(long.then(|| marks.ago(*moved, silence.max(HOLD_ELECTIONS * timing.election))));
+        marks.add(
+            long.then(|| marks.time_since(*moved, silence.max(HOLD_ELECTIONS * timing.election_timeout))),
+        );
         match mode {
-            Mode::Probe { bare, sent } => marks.put((0u8, bare, sent)),
+            Mode::Probe { bare, sent } => marks.add((0u8, bare, sent)),
             Mode::Flow { flight } => {
-                marks.put((1u8, flight.len()));
+                marks.add((1u8, flight.len()));
                 for Flying { upto, since, bytes } in flight {
-                    marks.put((upto, marks.ago(*since, patience), bytes.saturating_sub(LIGHT)));
+                    marks.add((upto, marks.time_since(*since, patience), bytes.saturating_sub(LIGHT)));
                 }
             }
             Mode::Pieces { snapshot, at, sent, mute } => {
-                marks.put((2u8, snapshot, at, sent.map(|at| marks.ago(at, patience)), mute));
+                marks.add((2u8, snapshot, at, sent.map(|at| marks.time_since(at, patience)), mute));
             }
         }
     }
@@ -212,23 +214,32 @@
 }
 
 impl Desk<'_> {
-    fn say(&mut self, peer: &mut Peer, word: Word) {
-        let asks = !matches!(word, Word::Beat { round: None, .. });
+    fn say(&mut self, peer: &mut Peer, word: Rpc) {
+        let asks = !matches!(word, Rpc::Heartbeat { round: None, .. });
         if asks {
             peer.asked = self.now;
             peer.asked_round = self.round;
         }
-        if !matches!(word, Word::Piece { .. }) {
+        if !matches!(word, Rpc::InstallSnapshot { .. }) {
             peer.told = self.commit;
         }
-        let message = Message::Said { to: peer.seat, term: self.term, word };
+        let message = Message::Rpc { to: peer.seat, term: self.term, rpc: word };
         self.out.push(Effect::Send { to: peer.seat.address, message });
     }
 
     fn append(&mut self, peer: &mut Peer, entries: Vec<Entry>) {
         let prev = LogIndex(peer.next.0 - 1);
         let prev_term = self.log.term_at(prev).expect("a seat that needs what is gone gets pieces");
-        self.say(peer, Word::Append { prev, prev_term, entries, commit: self.commit, round: self.round });
+        self.say(
+            peer,
+            Rpc::AppendEntries {
+                prev_index: prev,
+                prev_term,
+                entries,
+                commit_index: self.commit,
+                round: self.round,
+            },
+        );
     }
 
     /// Sends what can be sent now.
@@ -268,12 +279,12 @@
                 *sent = Some(self.now);
                 let end = snapshot.data.len().min(*at + self.piece.max(1));
                 peer.sent_bytes = end - *at;
-                let word = Word::Piece {
-                    index: snapshot.index,
-                    index_term: snapshot.term,
+                let word = Rpc::InstallSnapshot {
+                    last_included_index: snapshot.index,
+                    last_included_term: snapshot.term,
                     members: snapshot.members.clone(),
-                    total: snapshot.data.len() as u64,
-                    at: *at as u64,
+                    total_bytes: snapshot.data.len() as u64,
+                    offset: *at as u64,
                     data: snapshot.data[*at..end].to_vec(),
                     round: self.round,
                 };
@@ -282,9 +293,9 @@
             Mode::Pieces { .. } => {}
         }
         if peer.asked_round < self.round {
-            self.say(peer, Word::Beat { commit: self.commit, round: Some(self.round) });
+            self.say(peer, Rpc::Heartbeat { commit_index: self.commit, round: Some(self.round) });
         } else if peer.told < self.commit && matches!(peer.mode, Mode::Flow { .. }) {
-            self.say(peer, Word::Beat { commit: self.commit, round: None });
+            self.say(peer, Rpc::Heartbeat { commit_index: self.commit, round: None });
         }
     }
 
@@ -309,7 +320,7 @@
         }
         self.serve(peer);
         if self.now - peer.asked >= beat / 2 {
-            self.say(peer, Word::Beat { commit: self.commit, round: Some(self.round) });
+            self.say(peer, Rpc::Heartbeat { commit_index: self.commit, round: Some(self.round) });
         }
     }
 }
@@ -336,17 +347,25 @@
 impl Leading {
     /// Answers all that is open: what was placed may still be committed, the rest was never done.
     pub(crate) fn close(self, leader: Option<NodeAddress>, out: &mut Vec<Effect>) {
-        out.extend(self.asks.into_iter().map(|(_, ask)| Effect::Refused { ask, leader, lost: true }));
-        out.extend(self.reads.into_iter().map(|(_, ask)| Effect::Refused { ask, leader, lost: false }));
+        out.extend(self.asks.into_iter().map(|(_, ask)| Effect::Rejected {
+            call: ask,
+            leader,
+            may_commit: true,
+        }));
+        out.extend(self.reads.into_iter().map(|(_, ask)| Effect::Rejected {
+            call: ask,
+            leader,
+            may_commit: false,
+        }));
     }
 
     /// `long`: the log is longer than the tail that is kept in any case.
-    pub(crate) fn mark(&self, marks: &mut Marks, timing: &Timing, long: bool) {
+    pub(crate) fn mark(&self, marks: &mut FingerprintHasher, timing: &Timing, long: bool) {
         let Leading { since, first, peers, next_beat, asks, reads, round, open, wish, proof } = self;
-        marks.put((
-            marks.ago(*since, timing.election),
+        marks.add((
+            marks.time_since(*since, timing.election_timeout),
             first,
-            marks.left(*next_beat),
+            marks.time_until(*next_beat),
             asks,
             reads,
             round,
@@ -354,7 +373,10 @@
             wish,
         ));
         proof.mark(marks);
-        let silence = timing.dismiss.max(timing.succeed).max(LEARNER_ELECTIONS * timing.election);
+        let silence = timing
+            .removal_timeout
+            .max(timing.replacement_timeout)
+            .max(LEARNER_ELECTIONS * timing.election_timeout);
         for peer in peers {
             peer.mark(marks, timing, silence, long);
         }
@@ -377,7 +399,7 @@
     }
 }
 
-impl Promptbook {
+impl RaftNode {
     /// Elected.
     pub(crate) fn lead(&mut self) {
         let next = LogIndex(self.log.last().0 + 1);
@@ -387,7 +409,7 @@
             since: self.now,
             first: next,
             peers,
-            next_beat: self.now + self.timing.beat,
+            next_beat: self.now + self.timing.heartbeat_interval,
             asks: VecDeque::new(),
             reads: VecDeque::new(),
             round: 1,
@@ -396,13 +418,13 @@
             proof: Proof::default(),
         }));
         self.leader = Some(self.own);
-        self.place(What::Nothing);
+        self.place(EntryPayload::Noop);
     }
 
     /// Puts an entry at the end of the own log.
-    pub(crate) fn place(&mut self, what: What) -> LogIndex {
+    pub(crate) fn place(&mut self, what: EntryPayload) -> LogIndex {
         let index = LogIndex(self.log.last().0 + 1);
-        let entry = Entry { index, term: self.term, what };
+        let entry = Entry { index, term: self.term, payload: what };
         if let Role::Leading(lead) = &mut self.role {
             lead.open += weight(&entry);
         }
@@ -412,7 +434,7 @@
 
     fn refuse(&mut self, ask: CallId) {
         let leader = self.leader.map(|seat| seat.address);
-        self.out.push(Effect::Refused { ask, leader, lost: false });
+        self.out.push(Effect::Rejected { call: ask, leader, may_commit: false });
     }
 
     pub(crate) fn propose(&mut self, ask: CallId, data: Vec<u8>) {
@@ -420,7 +442,7 @@
         {
             return self.refuse(ask);
         }
-        let index = self.place(What::Command(data));
+        let index = self.place(EntryPayload::Command(data));
         if let Role::Leading(lead) = &mut self.role {
             lead.asks.push_back((index, ask));
         }
@@ -445,7 +467,7 @@
     /// every event, as the process may have been frozen.
     pub(crate) fn check_lead(&mut self) {
         let Role::Leading(lead) = &self.role else { return };
-        let fresh = self.now - lead.since < self.timing.election;
+        let fresh = self.now - lead.since < self.timing.election_timeout;
         if !(fresh || self.can_commit(&self.log.members().0)) || !self.disk_well() {
             self.give_up();
         }
@@ -454,7 +476,8 @@
     /// How many of `seats` answered within the last election span; the own one always does.
     pub(crate) fn lately(&self, seats: &[VoterId]) -> usize {
         let Role::Leading(lead) = &self.role else { return 0 };
-        let spoke = |peer: &Peer| peer.heard.is_some() && peer.silent(self.now) < self.timing.election;
+        let spoke =
+            |peer: &Peer| peer.heard.is_some() && peer.silent(self.now) < self.timing.election_timeout;
         seats.iter().filter(|seat| **seat == self.own || lead.peer(**seat).is_some_and(spoke)).count()
     }
 
@@ -505,7 +528,7 @@
         }
         // Alone, it needs no proof.
         while let Some((_, ask)) = lead.reads.pop_front_if(|(round, _)| *round <= proved) {
-            self.out.push(Effect::ReadAt { ask, index: self.commit });
+            self.out.push(Effect::ReadReady { call: ask, index: self.commit });
         }
         // One round at a time; reads that come meanwhile share the next.
         if proved >= lead.round && !lead.reads.is_empty() {
@@ -515,7 +538,7 @@
 
     fn with_desk(&mut self, mut each: impl FnMut(&mut Desk, &mut Peer)) {
         let Role::Leading(lead) = &mut self.role else { return };
-        let (now, term, commit, piece) = (self.now, self.term, self.commit, self.timing.piece);
+        let (now, term, commit, piece) = (self.now, self.term, self.commit, self.timing.max_chunk_bytes);
         let mut desk =
             Desk { now, term, log: &self.log, commit, round: lead.round, piece, out: &mut self.out };
         for peer in &mut lead.peers {
@@ -528,7 +551,7 @@
     }
 
     pub(crate) fn beat(&mut self) {
-        let beat = self.timing.beat;
+        let beat = self.timing.heartbeat_interval;
         let Role::Leading(lead) = &mut self.role else { return };
         if self.now < lead.next_beat {
             return;
@@ -550,7 +573,7 @@
     /// The last entry of the follower farthest behind, of those that are there and move.
     pub(crate) fn needed(&self) -> LogIndex {
         let Role::Leading(lead) = &self.role else { return NOBODY };
-        let election = self.timing.election;
+        let election = self.timing.election_timeout;
         let follows = |peer: &&Peer| {
             peer.heard.is_some()
                 && peer.silent(self.now) < LEARNER_ELECTIONS * election
--- a/crates/consensus/src/leave.rs
+++ b/crates/consensus/src/leave.rs
@@ -2,22 +2,22 @@
 
 use types::{LogIndex, Micros, VoterId};
 
-use crate::Word;
-use crate::book::{Promptbook, Role};
+use crate::Rpc;
+use crate::book::{RaftNode, Role};
 use crate::lead::Peer;
-use crate::mark::Marks;
+use crate::mark::FingerprintHasher;
 
 /// What a member that is about to end has found out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Release {
+pub enum ShutdownReadiness {
     /// It leads, or has asked and has no answer yet.
-    Waits,
+    Pending,
     /// Whatever is on its disk is on others' too.
-    Elsewhere,
+    Replicated,
     /// It is no voter, so nothing was counted on its disk.
-    NoVoter,
+    NotVoter,
     /// It is the only voter: what it has nobody else has.
-    Alone,
+    OnlyVoter,
 }
 
 /// The asking of a member that is about to end.
@@ -32,25 +32,27 @@
 }
 
 impl Leaving {
-    pub(crate) fn mark(&self, marks: &mut Marks) {
+    pub(crate) fn mark(&self, marks: &mut FingerprintHasher) {
         let Leaving { next_ask, upto, released } = self;
-        marks.put((marks.left(*next_ask), upto, released));
+        marks.add((marks.time_until(*next_ask), upto, released));
     }
 }
 
-impl Promptbook {
+impl RaftNode {
     /// Whether a member that is about to end may go: what the majority has counted on its disk is on others'.
-    pub fn release(&self) -> Release {
+    pub fn shutdown_readiness(&self) -> ShutdownReadiness {
         match &self.leaving {
-            _ if !self.is_member() => Release::NoVoter,
-            _ if self.log.members().0.len() == 1 => Release::Alone,
-            Some(Leaving { upto: Some(upto), released, .. }) if released >= upto => Release::Elsewhere,
-            _ => Release::Waits,
+            _ if !self.is_member() => ShutdownReadiness::NotVoter,
+            _ if self.log.members().0.len() == 1 => ShutdownReadiness::OnlyVoter,
+            Some(Leaving { upto: Some(upto), released, .. }) if released >= upto => {
+                ShutdownReadiness::Replicated
+            }
+            _ => ShutdownReadiness::Pending,
         }
     }
 
     /// The last entry that can have been counted on the own disk.
-    pub fn counted(&self) -> LogIndex {
+    pub fn acknowledgement_limit(&self) -> LogIndex {
         self.leaving.as_ref().and_then(|leaving| leaving.upto).unwrap_or(self.log.last())
     }
 
@@ -69,7 +71,7 @@
         let fit = |peer: &&Peer| {
             peer.matched == last
                 && peer.heard.is_some()
-                && peer.silent(self.now) < 2 * self.timing.beat
+                && peer.silent(self.now) < 2 * self.timing.heartbeat_interval
                 && members.contains(&peer.seat)
         };
         let next = lead.peers.iter().filter(fit).max_by_key(|peer| peer.heard).map(|peer| peer.seat);
@@ -78,21 +80,23 @@
             members.iter().copied().filter(|seat| *seat != self.own && *seat != next).collect();
         // The one that stands is told last, so that its question finds the others ready.
         for seat in others.into_iter().chain([next]) {
-            self.say(seat, Word::Go { next });
+            self.say(seat, Rpc::TransferLeadership { successor: next });
         }
         self.follow(self.term, None);
     }
 
     /// When a follower that is about to end asks next, where it has to.
     pub(crate) fn release_due(&self) -> Option<Micros> {
-        let asks = !self.leads() && self.leader.is_some() && self.release() == Release::Waits;
+        let asks = !self.is_leader()
+            && self.leader.is_some()
+            && self.shutdown_readiness() == ShutdownReadiness::Pending;
         self.leaving.as_ref().filter(|_| asks).map(|leaving| leaving.next_ask)
     }
 
     /// Of a follower about to end: asks its leader who else has on disk all that is on its own. The leader counts only
     /// what is in its own log, so it is asked once the two logs are known to be alike.
     pub(crate) fn ask_release(&mut self) {
-        let (now, last, leads) = (self.now, self.log.last(), self.leads());
+        let (now, last, leads) = (self.now, self.log.last(), self.is_leader());
         if let Some(leaving) = self.leaving.as_mut().filter(|_| !leads) {
             leaving.upto = leaving.upto.or(Some(last));
         }
@@ -100,11 +104,11 @@
             return;
         }
         if let Some(leaving) = &mut self.leaving {
-            leaving.next_ask = now + self.timing.beat;
+            leaving.next_ask = now + self.timing.heartbeat_interval;
         }
-        let last = self.counted();
+        let last = self.acknowledgement_limit();
         if let Some(leader) = self.leader.filter(|_| self.verified >= last) {
-            self.say(leader, Word::Leaving { last });
+            self.say(leader, Rpc::ShutdownQuery { last_index: last });
         }
     }
 
@@ -124,7 +128,7 @@
         let enough =
             others().filter(has).count() > others().count() / 2 || !others().any(|seat| lacks(&seat));
         if enough && others().any(|seat| has(&seat)) {
-            self.say(from, Word::Released { upto: last });
+            self.say(from, Rpc::ShutdownApproved { up_to: last });
         }
     }
 
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -5,7 +5,7 @@
 
 use types::{LogIndex, Term, VoterId};
 
-use crate::{Entry, Members, Snapshot, What};
+use crate::{Entry, EntryPayload, Members, Snapshot};
 
 /// Bytes of entries kept in memory before a snapshot's index, for followers that are a little behind.
 const TAIL: usize = 256 * 1024;
@@ -16,10 +16,10 @@
 
 /// What an entry weighs, in bytes: its content and a rough share for the rest.
 pub(crate) fn weight(entry: &Entry) -> usize {
-    24 + match &entry.what {
-        What::Nothing => 0,
-        What::Command(data) => data.len(),
-        What::Members(members) => members.0.len() * size_of::<VoterId>(),
+    24 + match &entry.payload {
+        EntryPayload::Noop => 0,
+        EntryPayload::Command(data) => data.len(),
+        EntryPayload::Members(members) => members.0.len() * size_of::<VoterId>(),
     }
 }
 
@@ -118,7 +118,7 @@
 
     pub(crate) fn append(&mut self, entry: Entry) {
         assert_eq!(entry.index.0, self.last().0 + 1, "the log has no gaps");
-        if let What::Members(members) = &entry.what {
+        if let EntryPayload::Members(members) = &entry.payload {
             self.members.push((entry.index, members.clone()));
         }
         self.entries.push_back(entry);
--- a/crates/consensus/src/mark.rs
+++ b/crates/consensus/src/mark.rs
@@ -6,36 +6,36 @@
 
 /// A hash of 64 bits that gathers marks of a state. Not for input that somebody could choose to make two
 /// alike.
-pub struct Marks {
+pub struct FingerprintHasher {
     now: Micros,
     sum: u64,
 }
 
-impl Marks {
-    pub fn new(now: Micros) -> Marks {
-        Marks { now, sum: 0x9e37_79b9_7f4a_7c15 }
+impl FingerprintHasher {
+    pub fn new(now: Micros) -> FingerprintHasher {
+        FingerprintHasher { now, sum: 0x9e37_79b9_7f4a_7c15 }
     }
 
-    pub fn put(&mut self, what: impl Hash) {
+    pub fn add(&mut self, what: impl Hash) {
         what.hash(self);
     }
 
-    pub fn sum(&self) -> u64 {
+    pub fn value(&self) -> u64 {
         self.sum
     }
 
     /// How long until then; 0 if it is past. What never comes stays as far.
-    pub fn left(&self, at: Micros) -> Micros {
+    pub fn time_until(&self, at: Micros) -> Micros {
         if at == Micros::MAX { at } else { (at - self.now).max(0) }
     }
 
     /// How long since then, at most `most`.
-    pub fn ago(&self, at: Micros, most: Micros) -> Micros {
+    pub fn time_since(&self, at: Micros, most: Micros) -> Micros {
         (self.now - at).min(most)
     }
 }
 
-impl Hasher for Marks {
+impl Hasher for FingerprintHasher {
     fn finish(&self) -> u64 {
         self.sum
     }
--- a/crates/consensus/src/seats.rs
+++ b/crates/consensus/src/seats.rs
@@ -2,10 +2,10 @@
 
 use types::{LogIndex, Micros, NodeAddress, VoterId};
 
-use crate::book::{Promptbook, Role};
+use crate::book::{RaftNode, Role};
 use crate::lead::Peer;
-use crate::mark::Marks;
-use crate::{Members, What};
+use crate::mark::FingerprintHasher;
+use crate::{EntryPayload, Members};
 
 /// Most voters; more than any core has.
 const MOST_VOTERS: usize = 15;
@@ -49,9 +49,9 @@
         }
     }
 
-    pub(crate) fn mark(&self, marks: &mut Marks, election: Micros) {
+    pub(crate) fn mark(&self, marks: &mut FingerprintHasher, election: Micros) {
         let Rounds { goal, since, short } = self;
-        marks.put((goal, marks.ago(*since, election), short));
+        marks.add((goal, marks.time_since(*since, election), short));
     }
 }
 
@@ -61,14 +61,14 @@
     With(Members),
 }
 
-impl Promptbook {
+impl RaftNode {
     /// A seat knocked at this leader: it becomes a learner, unless it is served already.
     pub(crate) fn knocked(&mut self, from: VoterId) {
         let next = LogIndex(self.log.last().0 + 1);
         if from.address == self.own.address || self.knows_peer(from) || self.votes_in(from) {
             return;
         }
-        let (now, election) = (self.now, self.timing.election);
+        let (now, election) = (self.now, self.timing.election_timeout);
         let members = self.log.members();
         let Role::Leading(lead) = &mut self.role else { return };
         let learner = |peer: &Peer| !members.0.contains(&peer.seat);
@@ -86,7 +86,7 @@
 
     /// Makes at most one change of the members, where one is due and none is under way.
     pub(crate) fn tend_members(&mut self) {
-        let (now, election) = (self.now, self.timing.election);
+        let (now, election) = (self.now, self.timing.election_timeout);
         let members = self.log.members();
         let Role::Leading(lead) = &mut self.role else { return };
         lead.peers
@@ -125,7 +125,7 @@
         lead.wish = None;
         lead.peers.retain(|peer| next.0.contains(&peer.seat) || !self.log.members().0.contains(&peer.seat));
         lead.peers.iter_mut().filter(|peer| next.0.contains(&peer.seat)).for_each(|peer| peer.rounds = None);
-        self.place(What::Members(next));
+        self.place(EntryPayload::Members(next));
     }
 
     /// True if a majority of `seats` has answered a round; the own one always does.
@@ -142,7 +142,7 @@
         learner.rounds.as_ref().is_some_and(|rounds| rounds.short)
             && matched > LogIndex(0)
             && matched.0 + NEARLY >= last.0
-            && self.log.weight_after(matched) <= self.timing.piece
+            && self.log.weight_after(matched) <= self.timing.max_chunk_bytes
     }
 
     fn next_members(&self) -> Option<Change> {
@@ -154,7 +154,7 @@
         };
         let (mut learners, mut ready) = (Vec::new(), None);
         for peer in lead.peers.iter().filter(|peer| !members.0.contains(&peer.seat)) {
-            if peer.heard.is_some() && peer.silent(self.now) < self.timing.election {
+            if peer.heard.is_some() && peer.silent(self.now) < self.timing.election_timeout {
                 learners.push(peer.seat.address);
                 if self.caught_up(peer) {
                     ready = ready.or(Some(peer.seat));
@@ -164,22 +164,23 @@
         let voters = || lead.peers.iter().filter(|peer| members.0.contains(&peer.seat));
         // Another life sits at its place: it is gone for good, and so is what it promised.
         let replaced = |place: NodeAddress| learners.contains(&place);
-        let gone = voters()
-            .filter(|peer| replaced(peer.seat.address) && peer.silent(self.now) >= self.timing.election);
+        let gone = voters().filter(|peer| {
+            replaced(peer.seat.address) && peer.silent(self.now) >= self.timing.election_timeout
+        });
         if let Some(next) = gone.filter_map(|peer| without(peer.seat)).next() {
             return Some(next);
         }
         let (all, timing) = (members.0.len(), self.timing);
         let even = all.is_multiple_of(2) && all > FEWEST_OF_EVEN;
-        let spare = all > timing.losses.least(all);
-        let ends = ENDED_ELECTIONS * timing.election;
+        let spare = all > timing.fault_tolerance.min_voters(all);
+        let ends = ENDED_ELECTIONS * timing.election_timeout;
         // How long a voter may be silent. One that was stopped in order has said so; where nobody waits for its place
         // it comes back with its disk, as in a rolling restart.
         let allowed = |peer: &Peer| match ready {
-            Some(_) if peer.ends(ends) => Some(timing.election),
-            Some(_) => Some(timing.succeed.max(timing.election)),
-            None if even => Some(timing.dismiss / SOONER),
-            None => spare.then_some(timing.dismiss),
+            Some(_) if peer.ends(ends) => Some(timing.election_timeout),
+            Some(_) => Some(timing.replacement_timeout.max(timing.election_timeout)),
+            None if even => Some(timing.removal_timeout / SOONER),
+            None => spare.then_some(timing.removal_timeout),
         };
         let late = |peer: &&Peer| allowed(peer).is_some_and(|span| peer.silent(self.now) >= span);
         let mut silent: Vec<&Peer> = voters().filter(late).collect();
--- a/crates/consensus/src/stand.rs
+++ b/crates/consensus/src/stand.rs
@@ -2,9 +2,9 @@
 
 use types::{LogIndex, Micros, Term, VoterId};
 
-use crate::Word;
-use crate::book::{FIRST_STAND, Promptbook, Role};
-use crate::mark::Marks;
+use crate::Rpc;
+use crate::book::{FIRST_STAND, RaftNode, Role};
+use crate::mark::FingerprintHasher;
 
 #[derive(Clone)]
 pub(crate) struct Votes {
@@ -13,15 +13,15 @@
 }
 
 impl Votes {
-    pub(crate) fn mark(&self, marks: &mut Marks) {
+    pub(crate) fn mark(&self, marks: &mut FingerprintHasher) {
         let Votes { granted, next_ask } = self;
         let mut granted = granted.clone();
         granted.sort_unstable();
-        marks.put((granted, marks.left(*next_ask)));
+        marks.add((granted, marks.time_until(*next_ask)));
     }
 }
 
-impl Promptbook {
+impl RaftNode {
     /// First round: nobody's term changes for it, so that a seat that was cut off disturbs nobody.
     pub(crate) fn ask_to_stand(&mut self) {
         self.follow(self.term, None);
@@ -45,10 +45,12 @@
 
     pub(crate) fn ask_again(&mut self) {
         let (last, last_term) = (self.log.last(), self.log.last_term());
-        let next = self.now + self.timing.beat;
+        let next = self.now + self.timing.heartbeat_interval;
         let (term, word, votes) = match &mut self.role {
-            Role::Asking(votes) => (Term(self.term.0 + 1), Word::MayStand { last, last_term }, votes),
-            Role::Standing(votes) => (self.term, Word::Stand { last, last_term }, votes),
+            Role::Asking(votes) => {
+                (Term(self.term.0 + 1), Rpc::PreVoteRequest { last_index: last, last_term }, votes)
+            }
+            Role::Standing(votes) => (self.term, Rpc::VoteRequest { last_index: last, last_term }, votes),
             Role::Following | Role::Leading(_) => return,
         };
         if self.now < votes.next_ask {
@@ -69,8 +71,8 @@
 
     /// Led by another or by itself, as far as it can know: no time for an election.
     fn led(&self) -> bool {
-        let lately = self.heard_leader.is_some_and(|at| self.now - at < self.timing.election);
-        self.leads() || (self.leader.is_some() && lately)
+        let lately = self.heard_leader.is_some_and(|at| self.now - at < self.timing.election_timeout);
+        self.is_leader() || (self.leader.is_some() && lately)
     }
 
     /// The leader of this term leads no more, and names the seat that is to stand: that one asks nobody first
@@ -81,7 +83,7 @@
         }
         self.follow(self.term, None);
         // The word may not have reached the one that is named: it has two beats, then the others ask.
-        self.arm_within((2 * self.timing.beat, 4 * self.timing.beat));
+        self.arm_within((2 * self.timing.heartbeat_interval, 4 * self.timing.heartbeat_interval));
         if next == self.own && self.is_member() && self.disk_well() && !self.leaves() {
             self.stand();
         }
@@ -94,7 +96,7 @@
 
     pub(crate) fn may_stand(&mut self, from: VoterId, term: Term, last: LogIndex, last_term: Term) {
         let granted = term > self.term && !self.led() && self.may_vote() && !self.log_is_old(last, last_term);
-        self.say_in(if granted { term } else { self.term }, from, Word::MayStood { granted });
+        self.say_in(if granted { term } else { self.term }, from, Rpc::PreVoteResponse { granted });
     }
 
     pub(crate) fn may_stood(&mut self, from: VoterId, term: Term) {
@@ -116,7 +118,7 @@
         }
         let free = self.voted.is_none_or(|voted| voted == from);
         if term < self.term || !free || !self.may_vote() || self.log_is_old(last, last_term) {
-            return self.say(from, Word::Stood { granted: false });
+            return self.say(from, Rpc::VoteResponse { granted: false });
         }
         self.follow(term, self.leader);
         self.voted = Some(from);
@@ -129,7 +131,7 @@
     fn pay_vote(&mut self) {
         if let Some(seat) = self.voted.filter(|_| self.owes_vote && self.disk.knows(self.term, self.voted)) {
             self.owes_vote = false;
-            self.say(seat, Word::Stood { granted: true });
+            self.say(seat, Rpc::VoteResponse { granted: true });
         }
     }
 
--- a/crates/extras/src/kind.rs
+++ b/crates/extras/src/kind.rs
@@ -103,25 +103,25 @@
 }
 
 fn of_book(message: &consensus::Message) -> usize {
-    use consensus::{Message, Word};
+    use consensus::{Message, Rpc};
     match message {
-        Message::Knock => 21,
-        Message::Leader { .. } => 22,
-        Message::Said { word, .. } => match word {
-            Word::MayStand { .. } => 23,
-            Word::MayStood { .. } => 24,
-            Word::Stand { .. } => 25,
-            Word::Stood { .. } => 26,
-            Word::Append { .. } => 27,
-            Word::Beat { .. } => 28,
-            Word::Appended { .. } => 29,
-            Word::Gap { .. } => 30,
-            Word::Piece { .. } => 31,
-            Word::Taken { .. } => 32,
-            Word::Late => 33,
-            Word::Go { .. } => 34,
-            Word::Leaving { .. } => 47,
-            Word::Released { .. } => 48,
+        Message::JoinRequest => 21,
+        Message::LeaderHint { .. } => 22,
+        Message::Rpc { rpc: word, .. } => match word {
+            Rpc::PreVoteRequest { .. } => 23,
+            Rpc::PreVoteResponse { .. } => 24,
+            Rpc::VoteRequest { .. } => 25,
+            Rpc::VoteResponse { .. } => 26,
+            Rpc::AppendEntries { .. } => 27,
+            Rpc::Heartbeat { .. } => 28,
+            Rpc::AppendResponse { .. } => 29,
+            Rpc::AppendRejected { .. } => 30,
+            Rpc::InstallSnapshot { .. } => 31,
+            Rpc::SnapshotProgress { .. } => 32,
+            Rpc::StaleTerm => 33,
+            Rpc::TransferLeadership { .. } => 34,
+            Rpc::ShutdownQuery { .. } => 47,
+            Rpc::ShutdownApproved { .. } => 48,
         },
     }
 }
--- a/crates/extras/src/sockets/part.rs
+++ b/crates/extras/src/sockets/part.rs
@@ -241,7 +241,7 @@
                 let (shared, waiting) = (shared.clone(), waiting.clone());
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(SYNC).await;
-                    let no = write.no;
+                    let no = write.id;
                     shared.borrow_mut().node.land(*write);
                     step(&shared, &waiting, |node, now| node.written(now, no));
                 });
--- a/crates/extras/src/world.rs
+++ b/crates/extras/src/world.rs
@@ -410,7 +410,7 @@
         if self.nodes[at].run != run {
             return;
         }
-        let no = write.no;
+        let no = write.id;
         self.nodes[at].land(write);
         self.play(at, kind::WRITTEN, |node, now| node.written(now, no));
     }
--- a/crates/playhouse/src/commands/ledger.rs
+++ b/crates/playhouse/src/commands/ledger.rs
@@ -5,11 +5,11 @@
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 
-use consensus::{Members, Snapshot, What, Write, WriteNo};
+use consensus::{EntryPayload, Members, Snapshot, Write, WriteId};
 use control_state::{Command, Outcome, Script};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
-use storage::{Ledger, LedgerError, Opened};
+use storage::{LogStore, OpenedLog, StorageError};
 use transport::DiskStore;
 use types::{LogIndex, NodeAddress, RunId, Term, VoterId};
 
@@ -74,7 +74,7 @@
 
 /// What a ledger holds, and the state after its last entry.
 struct Held {
-    opened: Opened,
+    opened: OpenedLog,
     script: Script,
     /// Commands that can't be read, by their entries.
     unreadable: Vec<u64>,
@@ -140,16 +140,16 @@
     let passing = Passing::make()?;
     fs::copy(&path, passing.0.join(NAME)).map_err(at)?;
     drop(file);
-    let store = DiskStore::open(&passing.0).map_err(LedgerError::from);
+    let store = DiskStore::open(&passing.0).map_err(StorageError::from);
     let (_, opened) =
-        store.and_then(|store| Ledger::open(store, RunId(0))).map_err(|error| damaged(dir, error))?;
+        store.and_then(|store| LogStore::open(store, RunId(0))).map_err(|error| damaged(dir, error))?;
     let mut held = Held { opened, script: Script::new(), unreadable: Vec::new(), taken: 0, refused: 0 };
-    if let Some(snapshot) = &held.opened.saved.snapshot {
+    if let Some(snapshot) = &held.opened.state.snapshot {
         let restored = held.script.restore(0, snapshot.index, &snapshot.data);
         restored.map_err(|error| damaged(dir, format!("snapshot {}: {error}", snapshot.index.0)))?;
     }
-    for entry in &held.opened.saved.entries {
-        let What::Command(data) = &entry.what else { continue };
+    for entry in &held.opened.state.entries {
+        let EntryPayload::Command(data) = &entry.payload else { continue };
         if Command::from_bytes(data).is_none() {
             held.unreadable.push(entry.index.0);
         }
@@ -169,22 +169,22 @@
 
 impl Held {
     fn last(&self) -> LogIndex {
-        let snapshot = self.opened.saved.snapshot.as_ref().map_or(LogIndex(0), |snapshot| snapshot.index);
-        self.opened.saved.entries.last().map_or(snapshot, |entry| entry.index)
+        let snapshot = self.opened.state.snapshot.as_ref().map_or(LogIndex(0), |snapshot| snapshot.index);
+        self.opened.state.entries.last().map_or(snapshot, |entry| entry.index)
     }
 
     /// Of the entry that `last` names: of two disks, the one with the higher has the newer state.
     fn last_term(&self) -> u64 {
-        let snapshot = self.opened.saved.snapshot.as_ref().map_or(0, |snapshot| snapshot.term.0);
-        self.opened.saved.entries.last().map_or(snapshot, |entry| entry.term.0)
+        let snapshot = self.opened.state.snapshot.as_ref().map_or(0, |snapshot| snapshot.term.0);
+        self.opened.state.entries.last().map_or(snapshot, |entry| entry.term.0)
     }
 
     /// Who votes after the last entry.
     fn members(&self) -> Members {
-        let saved = &self.opened.saved;
+        let saved = &self.opened.state;
         let mut newest = None;
         for entry in &saved.entries {
-            if let What::Members(members) = &entry.what {
+            if let EntryPayload::Members(members) = &entry.payload {
                 newest = Some(members.clone());
             }
         }
@@ -194,7 +194,7 @@
     }
 
     fn json(&self) -> OwnedValue {
-        let saved = &self.opened.saved;
+        let saved = &self.opened.state;
         let voters: Vec<OwnedValue> = (self.members().0.iter())
             .map(|seat| simd_json::json!({ "Place": seat.address.to_string(), "Life": format!("{:x}", seat.disk_id.0) }))
             .collect();
@@ -207,15 +207,15 @@
             })
             .collect();
         simd_json::json!({
-            "Life": format!("{:x}", self.opened.life.0),
+            "Life": format!("{:x}", self.opened.disk_id.0),
             "Term": saved.term.0,
-            "VotedFor": saved.voted.map(|seat| seat.to_string()),
+            "VotedFor": saved.voted_for.map(|seat| seat.to_string()),
             "SnapshotAt": saved.snapshot.as_ref().map_or(0, |snapshot| snapshot.index.0),
             "SnapshotBytes": saved.snapshot.as_ref().map_or(0, |snapshot| snapshot.data.len()),
             "Entries": saved.entries.len(),
             "Last": self.last().0,
             "LastTerm": self.last_term(),
-            "Committed": saved.committed.0,
+            "Committed": saved.commit_index.0,
             "Taken": self.taken,
             "Refused": self.refused,
             "Unreadable": self.unreadable.clone(),
@@ -326,7 +326,7 @@
             return print_json(&simd_json::json!({
                 "Folder": to.display().to_string(), "Begun": voter.is_some(), "Voter": voter,
                 "ConfigVersion": held.script.version().to_string(), "Last": held.last().0,
-                "LastTerm": held.last_term(), "Committed": held.opened.saved.committed.0,
+                "LastTerm": held.last_term(), "Committed": held.opened.state.commit_index.0,
             }));
         }
         let old: Vec<String> = held.members().0.iter().map(|seat| seat.address.to_string()).collect();
@@ -342,7 +342,7 @@
             held.last().0,
             held.last_term(),
             dir.display(),
-            held.opened.saved.committed.0,
+            held.opened.state.commit_index.0,
             old.join(", "),
             begun.unwrap_or_default(),
         );
@@ -356,16 +356,24 @@
                 .to_owned(),
         ));
     }
-    let failed = |error: LedgerError| Failed::Process(format!("{}: {error}", to.display()).into());
+    let failed = |error: StorageError| Failed::Process(format!("{}: {error}", to.display()).into());
     let life = RunId(crate::house::chance() | 1);
     let store = DiskStore::open(to).map_err(|error| failed(error.into()))?;
-    let (mut ledger, _) = Ledger::open(store, life).map_err(failed)?;
-    let term = Term(held.opened.saved.term.0.max(held.last_term()) + ABOVE);
+    let (mut ledger, _) = LogStore::open(store, life).map_err(failed)?;
+    let term = Term(held.opened.state.term.0.max(held.last_term()) + ABOVE);
     let index = LogIndex(held.last().0 + ABOVE);
     let members = Members(vec![VoterId { address: place, disk_id: life }]);
     let snapshot = Some(Snapshot { index, term, members, data: held.script.snapshot() });
-    let (no, voted, cut_from, entries) = (WriteNo(1), None, None, Vec::new());
-    let write = Write { no, term, voted, committed: index, cut_from, entries, snapshot };
-    ledger.keep(&write).map_err(failed)?;
+    let (no, voted, cut_from, entries) = (WriteId(1), None, None, Vec::new());
+    let write = Write {
+        id: no,
+        term,
+        voted_for: voted,
+        commit_index: index,
+        truncate_from: cut_from,
+        entries,
+        snapshot,
+    };
+    ledger.write(&write).map_err(failed)?;
     told(Some(VoterId { address: place, disk_id: life }))
 }
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -4,7 +4,10 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-use consensus::{Effect, Entry, Event, Members, Message, Promptbook, Release, Saved, What, Write, WriteNo};
+use consensus::{
+    Effect, Entry, EntryPayload, Event, Members, Message, PersistentState, RaftNode, ShutdownReadiness,
+    Write, WriteId,
+};
 use control_state::{Command, Count, Outcome};
 use intent::{Inspector, inspector};
 use membership::{Part, Standing};
@@ -43,7 +46,7 @@
 pub enum In {
     Tick,
     Mail { from: NodeAddress, bytes: Vec<u8>, carrier: Carrier },
-    Written { no: WriteNo, ok: bool },
+    Written { no: WriteId, ok: bool },
     Order { ask: CallId, command: Command },
     Read { ask: CallId },
     Beat { ask: CallId, beat: Beat },
@@ -93,7 +96,7 @@
 
 pub struct Control {
     pub house: House,
-    book: Promptbook,
+    book: RaftNode,
     seat: VoterId,
     count: Count,
     count_due: Micros,
@@ -126,12 +129,12 @@
 impl Control {
     /// A prompter's start. `first` are the first voters, on the first start of the whole system only.
     pub fn start(
-        mut house: House, seat: VoterId, first: Option<Members>, saved: Saved, spans: &Spans, seed: u64,
-        now: Micros,
+        mut house: House, seat: VoterId, first: Option<Members>, saved: PersistentState, spans: &Spans,
+        seed: u64, now: Micros,
     ) -> (Control, Vec<Out>) {
         house.cast.spread_within(spans.drain);
         house.script.repeated_for(spans.ack);
-        let (book, effects) = Promptbook::start(seat, first, saved, spans.book, seed, now);
+        let (book, effects) = RaftNode::start(seat, first, saved, spans.book, seed, now);
         let mut control = Control {
             house,
             book,
@@ -148,7 +151,7 @@
             may_agree: None,
             own_ask: u64::MAX / 2,
             // Two of its beats, and half of one for the way.
-            sent_on: spans.book.beat * 5 / 2,
+            sent_on: spans.book.heartbeat_interval * 5 / 2,
             hand_over: spans.hand_over,
             leaving: None,
             inspector: None,
@@ -161,7 +164,7 @@
     }
 
     pub fn due(&self) -> Micros {
-        let due = self.house.due().min(self.book.due()).min(self.count_due).min(self.memory_due);
+        let due = self.house.due().min(self.book.next_tick_at()).min(self.count_due).min(self.memory_due);
         let due = self.ends.front().map_or(due, |(until, _)| due.min(*until));
         self.leaving.map_or(due, |until| due.min(until))
     }
@@ -224,7 +227,7 @@
         self.seat
     }
 
-    pub fn book(&self) -> &Promptbook {
+    pub fn book(&self) -> &RaftNode {
         &self.book
     }
 
@@ -246,7 +249,7 @@
             In::Order { ask, command } => self.order(now, ask, command),
             In::Read { ask } => {
                 self.wait(now, ask, false, None);
-                self.log(now, Event::Read { ask });
+                self.log(now, Event::Read { call: ask });
             }
             In::Beat { ask, beat } => {
                 self.wait(now, ask, true, None);
@@ -259,7 +262,7 @@
             In::Seeds { places } => self.house.seeds_changed(now, places),
             In::Leave => {
                 self.leaving = Some(now + self.hand_over);
-                self.log(now, Event::Leave);
+                self.log(now, Event::PrepareShutdown);
             }
         }
         self.settle(now)
@@ -273,14 +276,14 @@
                 self.wait(now, ask, false, None);
                 // Guards against a first configuration that comes before a leader's next look: all would be written in
                 // the old form for `AGREE_AFTER` then.
-                if self.book.leads() && self.house.script.bill().is_none() {
+                if self.book.is_leader() && self.house.script.bill().is_none() {
                     self.agree(now);
                 }
-                self.log(now, Event::Propose { ask, data: self.written(now, &command) });
+                self.log(now, Event::Propose { call: ask, data: self.written(now, &command) });
             }
             Err(_) => {
                 self.wait(now, ask, false, Some(command));
-                self.log(now, Event::Read { ask });
+                self.log(now, Event::Read { call: ask });
             }
         }
     }
@@ -302,7 +305,7 @@
         let refusal = self.waiting.get_mut(&ask).and_then(|waiting| waiting.refusal.take());
         let Some(command) = refusal else { return self.tell(ask, Told::ReadAt) };
         match self.house.script.check_at(now, &command) {
-            Ok(()) => self.log(now, Event::Propose { ask, data: self.written(now, &command) }),
+            Ok(()) => self.log(now, Event::Propose { call: ask, data: self.written(now, &command) }),
             Err(outcome) => self.tell(ask, Told::Applied(outcome)),
         }
     }
@@ -331,7 +334,7 @@
 
     /// Tells the rooms how this node stands to a majority, and has the next proof begun where it leads.
     fn tell_standing(&mut self, now: Micros) {
-        let proved = self.book.proved();
+        let proved = self.book.quorum_contact();
         let voters = u8::try_from(self.book.members().0.len()).unwrap_or(u8::MAX);
         let standing = match proved {
             Some((term, at)) => replication::Standing::Proved { term, age: (now - at).max(0) },
@@ -342,20 +345,20 @@
         };
         let leader = self.book.leader().map(|seat| seat.address);
         self.house.stands(now, standing, proved.map(|(_, at)| at), leader);
-        if self.book.leads() {
-            self.log(now, Event::Prove);
+        if self.book.is_leader() {
+            self.log(now, Event::ConfirmQuorum);
         }
     }
 
     fn tick(&mut self, now: Micros) {
         self.house.tick(now);
-        if self.book.due() <= now {
+        if self.book.next_tick_at() <= now {
             self.log(now, Event::Tick);
         }
         if self.count_due <= now {
             self.count_due = now + COUNT_EVERY;
             self.tell_standing(now);
-            if self.book.leads() {
+            if self.book.is_leader() {
                 self.agree(now);
                 self.lead(now);
             } else {
@@ -363,7 +366,7 @@
             }
             if self.inspector.is_some() {
                 // A leader that heard of no majority for an election's span has given up.
-                let term = self.book.leads().then(|| self.book.term());
+                let term = self.book.is_leader().then(|| self.book.term());
                 self.inspected(now, inspector::Event::Lead(term));
                 self.inspected(now, inspector::Event::Tick);
             }
@@ -374,30 +377,36 @@
     /// goes is not asked any more, so a leader must not say it while it still leads.
     fn tend_leave(&mut self, now: Micros) {
         let Some(until) = self.leaving else { return };
-        let (release, untold) = (self.book.release(), self.house.cast.untold());
-        let last = self.book.counted().0;
+        let (release, untold) = (self.book.shutdown_readiness(), self.house.cast.untold());
+        let last = self.book.acknowledgement_limit().0;
         // One that reads form 1 only does not know the question.
         let leader = self.book.leader().map(|seat| seat.address);
         let asked = leader.is_some_and(|place| self.house.shared(place) >= LEAVING);
         let done = match release {
-            Release::Elsewhere | Release::NoVoter | Release::Alone => true,
-            Release::Waits => leader.is_some() && !asked && !self.book.leads(),
+            ShutdownReadiness::Replicated | ShutdownReadiness::NotVoter | ShutdownReadiness::OnlyVoter => {
+                true
+            }
+            ShutdownReadiness::Pending => leader.is_some() && !asked && !self.book.is_leader(),
         };
         if now < until && !(done && untold == 0) {
             return;
         }
         match release {
-            Release::Elsewhere => log::info!("leaves: entries up to {last} are on the disks of others"),
-            Release::NoVoter => log::info!("leaves: it has no vote, nothing was counted on its disk"),
-            Release::Alone => {
+            ShutdownReadiness::Replicated => {
+                log::info!("leaves: entries up to {last} are on the disks of others")
+            }
+            ShutdownReadiness::NotVoter => {
+                log::info!("leaves: it has no vote, nothing was counted on its disk")
+            }
+            ShutdownReadiness::OnlyVoter => {
                 log::warn!("leaves: it is the only voter, entries up to {last} are on its disk alone")
             }
-            Release::Waits if done => {
+            ShutdownReadiness::Pending if done => {
                 log::info!(
                     "leaves: the leader's program is older, nobody said who else has entries up to {last}"
                 );
             }
-            Release::Waits => {
+            ShutdownReadiness::Pending => {
                 log::warn!("leaves as its grace ends: entries up to {last} may be on its disk alone");
             }
         }
@@ -451,7 +460,7 @@
 
     fn propose(&mut self, now: Micros, command: &Command) {
         self.own_ask += 1;
-        self.log(now, Event::Propose { ask: CallId(self.own_ask), data: self.written(now, command) });
+        self.log(now, Event::Propose { call: CallId(self.own_ask), data: self.written(now, command) });
     }
 
     fn written(&self, now: Micros, command: &Command) -> Vec<u8> {
@@ -485,10 +494,10 @@
     /// Whether commands of this leader's log are not applied yet, but for what leaders tell of instances. Where none are,
     /// it has applied all that anybody ever acknowledged: all of that is in its log.
     fn commands_wait(&self) -> bool {
-        let (applied, last) = (self.book.committed().0, self.book.counted().0);
-        let command = |entry: &Entry| match &entry.what {
-            What::Command(data) => !matches!(Command::from_bytes(data), Some(Command::Seen { .. })),
-            What::Nothing | What::Members(_) => false,
+        let (applied, last) = (self.book.commit_index().0, self.book.acknowledgement_limit().0);
+        let command = |entry: &Entry| match &entry.payload {
+            EntryPayload::Command(data) => !matches!(Command::from_bytes(data), Some(Command::Seen { .. })),
+            EntryPayload::Noop | EntryPayload::Members(_) => false,
         };
         (applied + 1..=last).any(|index| self.book.entry(LogIndex(index)).is_none_or(command))
     }
@@ -511,7 +520,7 @@
 
     /// A node asks to be let into the core that can't read what is agreed: it is told so, and not heard.
     fn turned_away(&mut self, from: NodeAddress) -> bool {
-        let Some(edition) = self.house.unfit(from).filter(|_| self.book.leads()) else { return false };
+        let Some(edition) = self.house.unfit(from).filter(|_| self.book.is_leader()) else { return false };
         let agreed = self.house.script.agreed();
         if self.house.tells(from, Some(edition.formats.newest)) {
             log::warn!("{from} is not let in: it runs {edition}, and form {agreed} is agreed");
@@ -537,7 +546,7 @@
                     self.out.extend(word.map(|word| Out::Send { to, word }));
                 }
                 Effect::Write(write) => self.out.push(Out::Write(write)),
-                Effect::Apply { index, data, ask } => {
+                Effect::Apply { index, data, call: ask } => {
                     self.applied += data.len() + 64;
                     self.house.committed(now, index, data, ask);
                     self.applied +=
@@ -553,15 +562,15 @@
                     self.applied = 0;
                     self.house.restored(now, index, data);
                 }
-                Effect::ReadAt { ask, .. } => self.read(now, ask),
-                Effect::Refused { ask, leader, .. } => {
+                Effect::ReadReady { call: ask, .. } => self.read(now, ask),
+                Effect::Rejected { call: ask, leader, .. } => {
                     let leader = leader.filter(|_| self.book.hears_leader(now, self.sent_on));
                     self.tell(ask, Told::Refused { leader });
                 }
-                Effect::Leader { leader: None, term } if self.leaving.is_some() => {
+                Effect::LeaderChanged { leader: None, term } if self.leaving.is_some() => {
                     log::info!("the lead of term {} is handed over before the end", term.0);
                 }
-                Effect::Leader { leader, term } => {
+                Effect::LeaderChanged { leader, term } => {
                     let name = leader.map_or("nobody".to_owned(), |seat| seat.to_string());
                     log::info!("{name} leads in term {}", term.0);
                     self.tell_standing(now);
@@ -569,7 +578,7 @@
             }
         }
         if let Some((index, data)) = kept {
-            self.log(now, Event::Kept { index, data });
+            self.log(now, Event::SnapshotTaken { index, data });
         }
     }
 
@@ -591,10 +600,10 @@
                 }
                 Happened::Peers => {
                     let places = self.house.up(Part::Prompter);
-                    self.log(now, Event::Peers { places });
+                    self.log(now, Event::Peers { addresses: places });
                     self.inspect_members(now);
                 }
-                Happened::Book { from, message: Message::Knock } if self.turned_away(from.address) => {}
+                Happened::Book { from, message: Message::JoinRequest } if self.turned_away(from.address) => {}
                 Happened::Book { from, message } => self.log(now, Event::Received { from, message }),
                 Happened::Vote { from, vote } => self.count.cast(now, from, vote),
                 Happened::Restored => self.inspect_intent(now),
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -41,7 +41,7 @@
         match self {
             Word::Board(message) => message.since(),
             Word::Cast(message) => message.since(),
-            Word::Book { message, .. } => message.since(),
+            Word::Book { message, .. } => message.min_format(),
             Word::Company(_) | Word::Vote(_) | Word::Intent(_) | Word::NotLetIn { .. } => FormatVersion::V1,
         }
     }
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -9,14 +9,14 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use consensus::{Members, Saved};
+use consensus::{Members, PersistentState};
 use control_state::{Command, Outcome};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode, header};
 use membership::Part;
 use simd_json::prelude::*;
-use storage::{Ledger, LedgerError, Opened, StoreError};
+use storage::{LogStore, OpenedLog, StorageError, StoreError};
 use tokio::sync::oneshot;
 use transport::{Arrived, DiskHand, DiskStore, NoteHand, Post};
 use types::{CallId, Micros, NodeAddress, RunId, SECOND, VoterId};
@@ -81,11 +81,11 @@
     let (ledger, opened) = open(&dir, first)?;
     let (disk, mut done) = DiskHand::start(ledger)?;
     let (memory, remembered) = NoteHand::start(&dir, MEMORY)?;
-    let seat = VoterId { address: own, disk_id: opened.life };
+    let seat = VoterId { address: own, disk_id: opened.disk_id };
     let voters = || settings.seeds().into_iter().map(|place| VoterId { address: place, disk_id: FIRST_LIFE });
     // A disk with nothing kept yet has promised nothing, also where the process was killed since it was
     // begun.
-    let unused = opened.life == FIRST_LIFE && opened.saved == Saved::default();
+    let unused = opened.disk_id == FIRST_LIFE && opened.state == PersistentState::default();
     let first = (first && unused).then(|| Members(voters().collect()));
     let (post, mut mail) =
         Post::bind(settings.ip_address, settings.internal_port(), transport::PostLimits::default())?;
@@ -97,7 +97,7 @@
     if let Some(bytes) = remembered {
         house.remember(now, &bytes);
     }
-    let (control, out) = Control::start(house, seat, first, opened.saved, &settings.spans(), chance(), now);
+    let (control, out) = Control::start(house, seat, first, opened.state, &settings.spans(), chance(), now);
     let changed = Rc::new(tokio::sync::Notify::new());
     let mut prompter = Prompter {
         control,
@@ -181,7 +181,7 @@
 impl Measured for Prompter {
     fn metrics(&self) -> Metrics {
         let mut metrics = Metrics::of(&self.control.house, self.post.stats());
-        metrics.gauge("leads", "Whether this machine leads", u64::from(self.control.book().leads()));
+        metrics.gauge("leads", "Whether this machine leads", u64::from(self.control.book().is_leader()));
         metrics.gauge("calls_waiting", "Calls without an answer yet", self.asks.len() as u64);
         metrics
     }
@@ -191,18 +191,18 @@
 /// with a fresh life: this machine is a newcomer then, who is let in again and learns all from the others,
 /// and nothing that its disk promised before is expected of it. `first` draws the life of a first voter, on
 /// an unused disk only.
-fn open(dir: &Path, first: bool) -> Result<(Ledger<DiskStore>, Opened), LedgerError> {
+fn open(dir: &Path, first: bool) -> Result<(LogStore<DiskStore>, OpenedLog), StorageError> {
     let begin =
-        |life| DiskStore::open(dir).map_err(LedgerError::from).and_then(|store| Ledger::open(store, life));
+        |life| DiskStore::open(dir).map_err(StorageError::from).and_then(|store| LogStore::open(store, life));
     // A file that was set aside tells of an earlier use, also where the process was killed right after.
     let first = first && !DiskStore::was_set_aside(dir);
     let life = if first { FIRST_LIFE } else { RunId(chance() | 1) };
-    let damage = |error: &LedgerError| {
+    let damage = |error: &StorageError| {
         matches!(
             error,
-            LedgerError::Damaged { .. }
-                | LedgerError::Missing { .. }
-                | LedgerError::Store(StoreError::Damaged { .. })
+            StorageError::Damaged { .. }
+                | StorageError::Missing { .. }
+                | StorageError::Store(StoreError::Damaged { .. })
         )
     };
     // Read twice before it is given up: a fault on the way from the disk need not come again. A full or failing
@@ -237,13 +237,13 @@
         }
         let back = self.reverted.more(&self.control.house.script);
         // One tells, the one that counted the votes; what foyers saw is in their own rings.
-        if self.control.book().leads() && !back.is_empty() {
+        if self.control.book().is_leader() && !back.is_empty() {
             for (service, version) in back {
                 log::warn!("the roll-out of {service} to {version} has gone back");
             }
             ring::spill("a roll-out has gone back");
         }
-        let leads = self.control.book().leads();
+        let leads = self.control.book().is_leader();
         if std::mem::replace(&mut self.led, leads) && !leads && !self.ending {
             ring::spill("leadership was lost");
         }
@@ -255,7 +255,7 @@
                 Out::Send { to, word } => send(&self.post, to, &word),
                 // One that is refused is answered as failed by the hand itself.
                 Out::Write(write) => {
-                    self.writes.handed(self.clock.now(), write.no);
+                    self.writes.handed(self.clock.now(), write.id);
                     self.disk.write(write);
                 }
                 Out::Remember(bytes) => self.memory.keep(bytes),
--- a/crates/playhouse/src/settings.rs
+++ b/crates/playhouse/src/settings.rs
@@ -171,18 +171,18 @@
         let share = |(lost, all): (usize, usize)| lost.min(all) * 1000 / all.max(1);
         let parts = [(losses.zones, zones), (losses.region_losses, regions)];
         let book = consensus::Timing {
-            beat: election * 3 / 14,
-            election,
+            heartbeat_interval: election * 3 / 14,
+            election_timeout: election,
             // A machine that is back has `CatchUpS` to be let in again; one that is not back for twice that is taken for gone.
-            dismiss: within(2 * catch_up, 4 * SECOND, 30 * SECOND),
+            removal_timeout: within(2 * catch_up, 4 * SECOND, 30 * SECOND),
             // Of a successor's `CatchUpS` an election may take up to two spans, the letting in a tenth.
-            succeed: within(catch_up / 4, election, 2 * SECOND),
-            knock: within(catch_up / 8, 200 * MS, SECOND),
-            losses: consensus::Losses {
+            replacement_timeout: within(catch_up / 4, election, 2 * SECOND),
+            join_interval: within(catch_up / 8, 200 * MS, SECOND),
+            fault_tolerance: consensus::FaultTolerance {
                 machines: losses.machine_losses,
-                parts: parts.into_iter().max_by_key(|part| share(*part)).unwrap_or_default(),
+                domains: parts.into_iter().max_by_key(|part| share(*part)).unwrap_or_default(),
             },
-            piece: 256 << 10,
+            max_chunk_bytes: 256 << 10,
         };
         let usual = control_state::CountSettings::default();
         let rollback = micros(bounds.rollback_s);
--- a/crates/playhouse/src/troubles.rs
+++ b/crates/playhouse/src/troubles.rs
@@ -1,7 +1,7 @@
 //! Troubles (what a prompter's driver watches for, to tell of it once): writes that hang, roll-outs that went
 //! back. No I/O.
 
-use consensus::WriteNo;
+use consensus::WriteId;
 use types::{LogIndex, Micros, SECOND};
 
 /// A write that waits longer has been left by a disk that hangs.
@@ -10,7 +10,7 @@
 /// What this process waits for from its disk.
 #[derive(Debug, Default)]
 pub struct Writes {
-    newest: WriteNo,
+    newest: WriteId,
     since: Option<Micros>,
     fails: bool,
     /// A hang is told of once.
@@ -18,12 +18,12 @@
 }
 
 impl Writes {
-    pub fn handed(&mut self, now: Micros, no: WriteNo) {
+    pub fn handed(&mut self, now: Micros, no: WriteId) {
         self.newest = no;
         self.since.get_or_insert(now);
     }
 
-    pub fn answered(&mut self, no: WriteNo, ok: bool) {
+    pub fn answered(&mut self, no: WriteId, ok: bool) {
         if !ok {
             self.fails = true;
         } else if no == self.newest {
--- a/crates/rehearsal/src/exhaust.rs
+++ b/crates/rehearsal/src/exhaust.rs
@@ -1,5 +1,5 @@
 //! Exhaust (explicit-state model checking): every order of a few steps of a few machines that run the
-//! real `Promptbook`, breadth first, with rules checked in each state. `docs/interleavings.md` tells what
+//! real `RaftNode`, breadth first, with rules checked in each state. `docs/interleavings.md` tells what
 //! is bounded.
 
 mod stage;
--- a/crates/rehearsal/src/world/machine.rs
+++ b/crates/rehearsal/src/world/machine.rs
@@ -289,7 +289,7 @@
             Some(Process::Prompter(mut process)) => {
                 if let Some(write) = under_way {
                     // A write that was handed over may get to the disk without its process.
-                    let _ = process.ledger.keep(&write);
+                    let _ = process.ledger.write(&write);
                 }
                 if power {
                     self.machines[at].store.lose_power();
