--- a/crates/storage/src/form.rs
+++ b/crates/storage/src/form.rs
@@ -1,11 +1,11 @@
 //! Keys, and the form of the values under them: a version, a checksum, the bytes.
 
-use consensus::{Entry, Members, Saved, Snapshot, What};
+use consensus::{Entry, EntryPayload, Members, PersistentState, Snapshot};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use types::{LogIndex, RunId, Term, VoterId};
 
-use crate::{LedgerError, Pairs};
+use crate::{KeyValuePairs, StorageError};
 
 pub(crate) const HARD: &[u8] = b"h";
 pub(crate) const LIFE: &[u8] = b"l";
@@ -42,7 +42,7 @@
 pub(crate) struct Recovered {
     pub life: RunId,
     pub hard: Hard,
-    pub saved: Saved,
+    pub saved: PersistentState,
 }
 
 /// Entries by big-endian index, so that their keys have the log's order.
@@ -65,10 +65,10 @@
 }
 
 pub(crate) fn seal_entry(entry: &Entry) -> Vec<u8> {
-    let (kind, tail) = match &entry.what {
-        What::Nothing => (Kind::Nothing, &[][..]),
-        What::Command(data) => (Kind::Command, &data[..]),
-        What::Members(members) => (Kind::Members(members.clone()), &[][..]),
+    let (kind, tail) = match &entry.payload {
+        EntryPayload::Noop => (Kind::Nothing, &[][..]),
+        EntryPayload::Command(data) => (Kind::Command, &data[..]),
+        EntryPayload::Members(members) => (Kind::Members(members.clone()), &[][..]),
     };
     seal(&entry_key(entry.index.0), &(entry.term, kind), tail)
 }
@@ -93,14 +93,14 @@
 }
 
 /// Checks a value and splits it into what is typed and the bytes after that.
-fn unseal<'a, T: DeserializeOwned>(key: &[u8], value: &'a [u8]) -> Result<(T, &'a [u8]), LedgerError> {
-    let damaged = |why| LedgerError::Damaged { at: name(key), why };
+fn unseal<'a, T: DeserializeOwned>(key: &[u8], value: &'a [u8]) -> Result<(T, &'a [u8]), StorageError> {
+    let damaged = |why| StorageError::Damaged { key: name(key), reason: why };
     let [form, c0, c1, c2, c3, bytes @ ..] = value else { return Err(damaged("it is too short")) };
     if checksum(key, *form, bytes) != u32::from_le_bytes([*c0, *c1, *c2, *c3]) {
         return Err(damaged("its checksum does not match"));
     }
     if *form != FORM {
-        return Err(LedgerError::Unknown { at: name(key), form: *form });
+        return Err(StorageError::UnknownFormat { key: name(key), format: *form });
     }
     postcard::take_from_bytes(bytes).map_err(|_| damaged("it can't be read"))
 }
@@ -120,7 +120,7 @@
 
 /// Reads a whole store that is not empty. The hard state is written with every batch, so whatever it names
 /// must be there and nothing else may be.
-pub(crate) fn read_all(all: Pairs) -> Result<Recovered, LedgerError> {
+pub(crate) fn read_all(all: KeyValuePairs) -> Result<Recovered, StorageError> {
     let (mut life, mut hard, mut snapshot) = (None, None, None);
     let mut entries = Vec::new();
     for (key, value) in all {
@@ -135,18 +135,21 @@
             _ => entries.push(read_entry(&key, &value)?),
         }
     }
-    let missing = |key: &[u8]| LedgerError::Missing { at: name(key) };
+    let missing = |key: &[u8]| StorageError::Missing { key: name(key) };
     let life = life.ok_or_else(|| missing(LIFE))?;
     let hard = hard.ok_or_else(|| missing(HARD))?;
     let base = snapshot.as_ref().map_or(0, |s: &Snapshot| s.index.0);
     if base != hard.base {
-        return Err(LedgerError::Damaged { at: name(SNAPSHOT), why: "it is not the one of the hard state" });
+        return Err(StorageError::Damaged {
+            key: name(SNAPSHOT),
+            reason: "it is not the one of the hard state",
+        });
     }
     if hard.base.max(hard.last) > INDEX_MOST {
-        return Err(LedgerError::Damaged { at: name(HARD), why: "no log is so long" });
+        return Err(StorageError::Damaged { key: name(HARD), reason: "no log is so long" });
     }
     if hard.last < hard.base {
-        return Err(LedgerError::Damaged { at: name(HARD), why: "it ends before its snapshot" });
+        return Err(StorageError::Damaged { key: name(HARD), reason: "it ends before its snapshot" });
     }
     let mut next = base + 1;
     for entry in &entries {
@@ -155,7 +158,7 @@
         }
         if entry.index.0 != next || next > hard.last {
             let at = name(&entry_key(entry.index.0));
-            return Err(LedgerError::Damaged { at, why: "the hard state knows of no such entry" });
+            return Err(StorageError::Damaged { key: at, reason: "the hard state knows of no such entry" });
         }
         next += 1;
     }
@@ -163,28 +166,34 @@
         return Err(missing(&entry_key(next)));
     }
     let committed = LogIndex(hard.committed);
-    let saved = Saved { term: hard.term, voted: hard.voted, committed, snapshot, entries };
+    let saved = PersistentState {
+        term: hard.term,
+        voted_for: hard.voted,
+        commit_index: committed,
+        snapshot,
+        entries,
+    };
     Ok(Recovered { life, hard, saved })
 }
 
-fn read_snapshot(key: &[u8], value: &[u8]) -> Result<Snapshot, LedgerError> {
+fn read_snapshot(key: &[u8], value: &[u8]) -> Result<Snapshot, StorageError> {
     let ((index, term, members), data) = unseal::<(LogIndex, Term, Members)>(key, value)?;
     Ok(Snapshot { index, term, members, data: data.to_vec() })
 }
 
-fn read_entry(key: &[u8], value: &[u8]) -> Result<Entry, LedgerError> {
+fn read_entry(key: &[u8], value: &[u8]) -> Result<Entry, StorageError> {
     let index = match key {
         [ENTRY, rest @ ..] => <[u8; 8]>::try_from(rest).ok(),
         _ => None,
     };
     let Some(index) = index else {
-        return Err(LedgerError::Damaged { at: name(key), why: "it is no key of a ledger" });
+        return Err(StorageError::Damaged { key: name(key), reason: "it is no key of a ledger" });
     };
     let ((term, kind), tail) = unseal::<(Term, Kind)>(key, value)?;
     let what = match kind {
-        Kind::Nothing => What::Nothing,
-        Kind::Command => What::Command(tail.to_vec()),
-        Kind::Members(members) => What::Members(members),
+        Kind::Nothing => EntryPayload::Noop,
+        Kind::Command => EntryPayload::Command(tail.to_vec()),
+        Kind::Members(members) => EntryPayload::Members(members),
     };
-    Ok(Entry { index: LogIndex(u64::from_be_bytes(index)), term, what })
+    Ok(Entry { index: LogIndex(u64::from_be_bytes(index)), term, payload: what })
 }
--- a/crates/transport/src/disk.rs
+++ b/crates/transport/src/disk.rs
@@ -11,7 +11,7 @@
 
 use redb::backends::FileBackend;
 use redb::{Builder, Database, Durability, ReadableDatabase, StorageBackend, TableDefinition};
-use storage::{Batch, Pairs, Step, Store, StoreError};
+use storage::{Batch, KeyValuePairs, Operation, Store, StoreError};
 
 const NAME: &str = "ledger.redb";
 /// The file while it is made; worth nothing under this name.
@@ -125,11 +125,11 @@
 }
 
 impl<F: Folder> Store for DiskStore<F> {
-    fn put(&mut self, batch: &Batch) -> Result<(), StoreError> {
+    fn commit(&mut self, batch: &Batch) -> Result<(), StoreError> {
         self.with("writing", |database| write(database, batch))
     }
 
-    fn scan(&mut self, from: &[u8], until: &[u8]) -> Result<Pairs, StoreError> {
+    fn scan(&mut self, from: &[u8], until: &[u8]) -> Result<KeyValuePairs, StoreError> {
         self.with("reading", |database| read(database, from, until))
     }
 }
@@ -150,11 +150,11 @@
         if let Some(version) = newer(&file).map_err(|e| failed("opening", &e))? {
             let why =
                 format!("the file has version {version} of the library's format, {NEWEST} is read here");
-            return Err(StoreError::Failed { doing: "opening", why });
+            return Err(StoreError::Failed { operation: "opening", reason: why });
         }
         let database = open_file("opening", file)?;
         let pairs = guarded("reading", || read(&database, &[], &[]))?;
-        batch.steps.extend(pairs.into_iter().map(|(key, value)| Step::Put { key, value }));
+        batch.operations.extend(pairs.into_iter().map(|(key, value)| Operation::Put { key, value }));
     }
     let file = folder.create(UNBORN).map_err(|e| failed("making the file", &e))?;
     let database = open_file("making the file", file)?;
@@ -189,18 +189,18 @@
     transaction.set_durability(Durability::Immediate)?;
     {
         let mut table = transaction.open_table(TABLE)?;
-        for step in &batch.steps {
+        for step in &batch.operations {
             match step {
-                Step::Put { key, value } => {
+                Operation::Put { key, value } => {
                     table.insert(&key[..], &value[..])?;
                 }
-                Step::Delete { key } => {
+                Operation::Delete { key } => {
                     table.remove(&key[..])?;
                 }
-                Step::Cut { from, until } if from < until => {
+                Operation::DeleteRange { from, until } if from < until => {
                     table.retain_in(&from[..]..&until[..], |_, _| false)?;
                 }
-                Step::Cut { .. } => {}
+                Operation::DeleteRange { .. } => {}
             }
         }
     }
@@ -208,7 +208,7 @@
     Ok(())
 }
 
-fn read(database: &Database, from: &[u8], until: &[u8]) -> Result<Pairs, redb::Error> {
+fn read(database: &Database, from: &[u8], until: &[u8]) -> Result<KeyValuePairs, redb::Error> {
     let table = database.begin_read()?.open_table(TABLE)?;
     let range = if until.is_empty() { table.range(from..)? } else { table.range(from..until.max(from))? };
     range
@@ -234,11 +234,11 @@
             | redb::Error::DatabaseAlreadyOpen
             | redb::Error::UpgradeRequired(_)),
         )) => Err(failed(doing, &error)),
-        Ok(Err(error)) => Err(StoreError::Damaged { why: error.to_string() }),
-        Err(_) => Err(StoreError::Damaged { why: format!("panic while {doing}") }),
+        Ok(Err(error)) => Err(StoreError::Damaged { reason: error.to_string() }),
+        Err(_) => Err(StoreError::Damaged { reason: format!("panic while {doing}") }),
     }
 }
 
 fn failed(doing: &'static str, error: &dyn std::error::Error) -> StoreError {
-    StoreError::Failed { doing, why: error.to_string() }
+    StoreError::Failed { operation: doing, reason: error.to_string() }
 }
--- a/crates/transport/src/hand.rs
+++ b/crates/transport/src/hand.rs
@@ -8,8 +8,8 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use consensus::{Write, WriteNo};
-use storage::{Ledger, LedgerError, Store};
+use consensus::{Write, WriteId};
+use storage::{LogStore, StorageError, Store};
 use tokio::sync::mpsc;
 
 /// Operators filter log lines by this name, which is older than the package's.
@@ -27,7 +27,7 @@
 /// stays in line, before all later ones, and `ok: true` follows once it is there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Done {
-    pub no: WriteNo,
+    pub no: WriteId,
     pub ok: bool,
 }
 
@@ -36,7 +36,7 @@
 pub struct DiskHand<S> {
     queue: SyncSender<Write>,
     done: mpsc::UnboundedSender<Done>,
-    thread: JoinHandle<Ledger<S>>,
+    thread: JoinHandle<LogStore<S>>,
     /// A write was refused, here or by the thread: later ones would leave a gap, so they are refused too.
     refusing: Arc<AtomicBool>,
 }
@@ -44,7 +44,7 @@
 impl<S: Store + 'static> DiskHand<S> {
     /// Starts the thread. Each write is answered in the receiver: at once when it is refused, else when its
     /// batch is durable, and before that with `ok: false` when the disk fails.
-    pub fn start(ledger: Ledger<S>) -> io::Result<(Self, mpsc::UnboundedReceiver<Done>)> {
+    pub fn start(ledger: LogStore<S>) -> io::Result<(Self, mpsc::UnboundedReceiver<Done>)> {
         let (queue, waiting) = sync_channel(WAITING);
         let (done, dones) = mpsc::unbounded_channel();
         let answers = done.clone();
@@ -62,7 +62,7 @@
     /// and all later ones are answered `ok: false` for good. The ledger then is to be opened anew: what it
     /// holds is sound, but it lacks writes that the caller has made.
     pub fn write(&mut self, write: Write) -> bool {
-        let no = write.no;
+        let no = write.id;
         if !self.refuses() {
             match self.queue.try_send(write) {
                 Ok(()) => return true,
@@ -83,14 +83,14 @@
     }
 
     /// Ends after what waits is on disk, or at the first failure; gives the ledger back.
-    pub fn stop(self) -> Option<Ledger<S>> {
+    pub fn stop(self) -> Option<LogStore<S>> {
         drop(self.queue);
         self.thread.join().ok()
     }
 }
 
 struct Worker<S> {
-    ledger: Ledger<S>,
+    ledger: LogStore<S>,
     waiting: Receiver<Write>,
     answers: mpsc::UnboundedSender<Done>,
     /// Set before a write that does not fit is answered.
@@ -98,7 +98,7 @@
 }
 
 impl<S: Store> Worker<S> {
-    fn run(mut self) -> Ledger<S> {
+    fn run(mut self) -> LogStore<S> {
         let mut batch = Vec::new();
         while let Ok(first) = self.waiting.recv() {
             batch.push(first);
@@ -130,12 +130,12 @@
         let mut pause = FIRST_PAUSE;
         let mut told = 0;
         loop {
-            match self.ledger.keep_all(batch) {
+            match self.ledger.write_all(batch) {
                 Ok(()) => {
                     self.answer(batch, true);
                     return true;
                 }
-                Err(error @ LedgerError::Store(_)) => log::warn!(target: LOG_TARGET, "disk: {error}"),
+                Err(error @ StorageError::Store(_)) => log::warn!(target: LOG_TARGET, "disk: {error}"),
                 Err(error) => {
                     log::error!(target: LOG_TARGET, "write that does not fit the ledger: {error}");
                     self.misfit.store(true, Ordering::Relaxed);
@@ -178,7 +178,7 @@
     fn answer(&self, writes: &[Write], ok: bool) {
         for write in writes {
             // The receiver may be gone, and then nobody asks.
-            let _ = self.answers.send(Done { no: write.no, ok });
+            let _ = self.answers.send(Done { no: write.id, ok });
         }
     }
 }
--- a/crates/transport/src/memory_store.rs
+++ b/crates/transport/src/memory_store.rs
@@ -5,7 +5,7 @@
 use std::ops::Bound;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use storage::{Batch, Pairs, Step, Store, StoreError};
+use storage::{Batch, KeyValuePairs, Operation, Store, StoreError};
 
 /// How the next puts fail.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -63,10 +63,10 @@
 }
 
 impl Store for MemoryStore {
-    fn put(&mut self, batch: &Batch) -> Result<(), StoreError> {
+    fn commit(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let mut contents = self.lock();
         contents.puts += 1;
-        let error = || Err(StoreError::Failed { doing: "writing", why: "as the test asked".into() });
+        let error = || Err(StoreError::Failed { operation: "writing", reason: "as the test asked".into() });
         match contents.fault {
             Fault::Refuse => return error(),
             Fault::Unsynced | Fault::Lying if contents.durable.is_none() => {
@@ -76,15 +76,15 @@
             Fault::None => contents.durable = None,
             Fault::Unsynced | Fault::Lying => {}
         }
-        for step in &batch.steps {
+        for step in &batch.operations {
             match step {
-                Step::Put { key, value } => {
+                Operation::Put { key, value } => {
                     contents.live.insert(key.clone(), value.clone());
                 }
-                Step::Delete { key } => {
+                Operation::Delete { key } => {
                     contents.live.remove(key);
                 }
-                Step::Cut { from, until } => {
+                Operation::DeleteRange { from, until } => {
                     contents.live.retain(|key, _| key < from || key >= until);
                 }
             }
@@ -92,7 +92,7 @@
         if contents.fault == Fault::Unsynced { error() } else { Ok(()) }
     }
 
-    fn scan(&mut self, from: &[u8], until: &[u8]) -> Result<Pairs, StoreError> {
+    fn scan(&mut self, from: &[u8], until: &[u8]) -> Result<KeyValuePairs, StoreError> {
         let contents = self.lock();
         let range = (Bound::Included(from), Bound::Unbounded);
         let pairs = contents.live.range::<[u8], _>(range);
--- a/crates/transport/src/note.rs
+++ b/crates/transport/src/note.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::thread::{self, JoinHandle};
 
-use storage::note;
+use storage::checksummed;
 
 /// Operators filter log lines by this name, which is older than the package's.
 const LOG_TARGET: &str = "wings::note";
@@ -30,7 +30,7 @@
     pub fn start(dir: &Path, name: &str) -> io::Result<(NoteHand, Option<Vec<u8>>)> {
         let path = dir.join(name);
         let kept = match fs::read(&path) {
-            Ok(value) => note::open(&value).map(<[u8]>::to_vec).or_else(|| {
+            Ok(value) => checksummed::decode(&value).map(<[u8]>::to_vec).or_else(|| {
                 log::warn!(target: LOG_TARGET, "{} is damaged, and dropped", path.display());
                 None
             }),
@@ -84,7 +84,7 @@
             }
         };
         drop(held);
-        if let Err(error) = write(dir, path, &note::seal(&bytes)) {
+        if let Err(error) = write(dir, path, &checksummed::encode(&bytes)) {
             log::debug!(target: LOG_TARGET, "{} is not kept: {error}", path.display());
         }
     }
--- a/crates/understudy/src/targets/words.rs
+++ b/crates/understudy/src/targets/words.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use consensus::{Members, Saved};
+use consensus::{Members, PersistentState};
 use control_state::{Command, Tally, Voice, Vote};
 use membership::{Member, Part};
 use playhouse::control::{Control, In, Out};
@@ -65,7 +65,7 @@
         house,
         seat(number),
         Some(voters),
-        Saved::default(),
+        PersistentState::default(),
         &Spans::default(),
         number.into(),
         now,
@@ -124,7 +124,7 @@
         while let Some(one) = out.pop_front() {
             match one {
                 Out::Send { to, word } => self.post(number, to, &word),
-                Out::Write(write) => out.extend(self.step(number, In::Written { no: write.no, ok: true })),
+                Out::Write(write) => out.extend(self.step(number, In::Written { no: write.id, ok: true })),
                 Out::Remember(_) | Out::Tell { .. } => {}
             }
         }
@@ -231,7 +231,7 @@
         Word::Company(message) => variant(&message.talk),
         Word::Board(message) => variant(message),
         Word::Cast(message) => variant(message),
-        Word::Book { message: consensus::Message::Said { word, .. }, .. } => 16 + variant(word),
+        Word::Book { message: consensus::Message::Rpc { rpc: word, .. }, .. } => 16 + variant(word),
         Word::Book { message, .. } => variant(message),
         Word::Vote(vote) => variant(&vote.voice),
         Word::Intent(word) => variant(word),
@@ -322,7 +322,7 @@
             while let Some(at) = out.iter().position(|out| matches!(out, Out::Write(_))) {
                 let Out::Write(write) = out.remove(at) else { break };
                 signature.mark("write", tag << 2 | u64::from(write.snapshot.is_some()) << 1);
-                out.extend(control.step(now, In::Written { no: write.no, ok: true }));
+                out.extend(control.step(now, In::Written { no: write.id, ok: true }));
                 turns += 1;
                 assert!(turns < 100, "a word has an end");
             }
