--- a/crates/extras/src/change.rs
+++ b/crates/extras/src/change.rs
@@ -6,7 +6,7 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-use replication::{Effect, Event, Message, Mode, Piece, Replicator};
+use replication::{ChainedCommand, Effect, Event, Message, Mode, Replicator};
 use types::{LogIndex, MS, Micros, NodeAddress, SECOND};
 
 use crate::size::ZONES;
@@ -116,7 +116,7 @@
         let others: Vec<NodeAddress> =
             self.boards[self.plan.prompters..].iter().map(|one| one.place).collect();
         for at in 0..all {
-            self.step(at, Event::Peers { hubs: hubs.clone(), others: others.clone() });
+            self.step(at, Event::Peers { sources: hubs.clone(), others: others.clone() });
         }
         for at in 0..self.plan.prompters {
             self.step(at, Event::Committed { index: LogIndex(1), data: vec![1; 100] });
@@ -148,10 +148,10 @@
                     let message = match way {
                         Way::Small(message) => *message,
                         Way::Pieces { fresh, index, prev } => {
-                            let piece = Piece { prev, index, data: data() };
-                            Message::Pieces { fresh, more: false, pieces: vec![piece] }
+                            let piece = ChainedCommand { prev, index, data: data() };
+                            Message::Commands { fresh, more: false, commands: vec![piece] }
                         }
-                        Way::Whole { index } => Message::Whole { index, data: data() },
+                        Way::Whole { index } => Message::Snapshot { index, data: data() },
                     };
                     self.step(to, Event::Received { from, message });
                 }
@@ -178,16 +178,18 @@
                 match effect {
                     Effect::Send { to, message } => self.send(at, to, message),
                     // Nothing is lost here.
-                    Effect::Insist { .. } => {}
+                    Effect::PreferStream { .. } => {}
                     Effect::Apply { index, .. } | Effect::Restore { index, .. } => {
                         if index >= LAST && self.boards[at].has.is_none() {
                             self.boards[at].has = Some(self.now);
                         }
                     }
-                    Effect::NeedWhole => {
+                    Effect::TakeSnapshot => {
                         let index = self.boards[at].board.index();
                         let data = self.data.to_vec();
-                        effects.extend(self.boards[at].board.step(self.now, Event::Kept { index, data }));
+                        effects.extend(
+                            self.boards[at].board.step(self.now, Event::SnapshotTaken { index, data }),
+                        );
                     }
                 }
             }
@@ -209,8 +211,8 @@
         let Some(to) = self.by_place.get(&to).copied() else { return };
         let long = self.data.len() / 2;
         let (way, bytes) = match message {
-            Message::Whole { index, data } if data.len() > long => (Way::Whole { index }, data.len() + 16),
-            Message::Pieces { fresh, pieces, .. }
+            Message::Snapshot { index, data } if data.len() > long => (Way::Whole { index }, data.len() + 16),
+            Message::Commands { fresh, commands: pieces, .. }
                 if pieces.iter().any(|one| one.data.len() > long) && pieces.len() == 1 =>
             {
                 let (index, prev) = (pieces[0].index, pieces[0].prev);
@@ -218,7 +220,7 @@
             }
             small => {
                 let bytes = match &small {
-                    Message::Pieces { pieces, .. } => {
+                    Message::Commands { commands: pieces, .. } => {
                         pieces.iter().map(|one| one.data.len() + 12).sum::<usize>() + 8
                     }
                     _ => 12,
--- a/crates/extras/src/kind.rs
+++ b/crates/extras/src/kind.rs
@@ -66,24 +66,24 @@
 /// The kind of a word.
 pub fn of(word: &Word) -> usize {
     match word {
-        Word::Company(message) => match message.talk {
-            membership::Talk::Join => 0,
-            membership::Talk::News => 1,
-            membership::Talk::Probe { .. } => 2,
-            membership::Talk::Answer { .. } => 3,
-            membership::Talk::AskFor { .. } => 4,
-            membership::Talk::Vouch { .. } => 5,
-            membership::Talk::Doubt { .. } => 6,
-            membership::Talk::Who => 7,
-            membership::Talk::Compare { .. } => 8,
+        Word::Company(message) => match message.body {
+            membership::MessageBody::Join => 0,
+            membership::MessageBody::Gossip => 1,
+            membership::MessageBody::Probe { .. } => 2,
+            membership::MessageBody::Ack { .. } => 3,
+            membership::MessageBody::IndirectProbe { .. } => 4,
+            membership::MessageBody::IndirectAck { .. } => 5,
+            membership::MessageBody::IndirectNack { .. } => 6,
+            membership::MessageBody::IdentityRequest => 7,
+            membership::MessageBody::CompareDigests { .. } => 8,
         },
         Word::Board(message) => match message {
-            replication::Message::Pieces { .. } => 9,
-            replication::Message::Have { .. } => 10,
-            replication::Message::Want { .. } => 11,
-            replication::Message::Whole { .. } => 12,
-            replication::Message::Prove => 45,
-            replication::Message::Proof { .. } => 46,
+            replication::Message::Commands { .. } => 9,
+            replication::Message::Digest { .. } => 10,
+            replication::Message::Pull { .. } => 11,
+            replication::Message::Snapshot { .. } => 12,
+            replication::Message::FreshnessRequest => 45,
+            replication::Message::FreshnessProof { .. } => 46,
         },
         Word::Cast(message) => match message {
             registry::Message::News { .. } => 13,
--- a/crates/extras/src/path.rs
+++ b/crates/extras/src/path.rs
@@ -7,7 +7,7 @@
 use cpu_time::ProcessTime;
 use hdrhistogram::Histogram;
 use hyper::Method;
-use membership::Part;
+use membership::Role;
 use playhouse::demo::client::{Ask, Line, Platform};
 use playhouse::demo::instance::{Instance, Plan, Record};
 use playhouse::demo::operator::Operator;
@@ -129,7 +129,7 @@
     let plan = stage::Plan { program, prompters: 1, foyers: 1, folder: None, log: "warn".to_owned() };
     let mut stage = Stage::set(plan)?;
     stage.start_all()?;
-    let foyer = stage.nodes(Part::Foyer)[0];
+    let foyer = stage.nodes(Role::Gateway)[0];
     let pid = stage.pid(foyer).ok_or("the foyer does not run")?;
     let operator = Operator::new(stage.controls());
     until("a leader", || operator.leader()).await?;
@@ -295,7 +295,7 @@
         let plan = stage::Plan { program, prompters: 1, foyers: 1, folder: None, log: "error".to_owned() };
         let mut stage = Stage::set(plan)?;
         stage.start_all()?;
-        let prompter = stage.nodes(Part::Prompter)[0];
+        let prompter = stage.nodes(Role::ControlNode)[0];
         let pid = stage.pid(prompter).ok_or("the prompter does not run")?;
         let operator = Operator::new(stage.controls());
         until("a leader", || operator.leader()).await?;
--- a/crates/extras/src/world/node.rs
+++ b/crates/extras/src/world/node.rs
@@ -5,7 +5,7 @@
 use consensus::{Members, Saved, Write, WriteNo};
 use control_state::Command;
 use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
-use membership::{Member, Part};
+use membership::{Member, Role};
 use playhouse::control::{self, Control, Told};
 use playhouse::floor::{self, Floor};
 use playhouse::house::{House, Letter};
@@ -134,14 +134,14 @@
     pub fn start(
         &mut self, at: usize, seeds: &[NodeAddress], settings: Rc<Settings>, seed: u64, life: u64,
     ) -> Vec<Did> {
-        let part = if self.prompter { Part::Prompter } else { Part::Foyer };
+        let part = if self.prompter { Role::ControlNode } else { Role::Gateway };
         let member = Member {
-            place: self.place,
-            life: RunId(life),
-            part,
+            address: self.place,
+            run_id: RunId(life),
+            role: part,
             zone: format!("zone-{}", self.zone),
             name: format!("{}-{at:04}", if self.prompter { "prompter" } else { "gateway" }),
-            edition: types::NodeVersion::CURRENT,
+            version: types::NodeVersion::CURRENT,
         };
         let beat = micros(settings.heartbeat_s);
         let house = House::start(member, seeds.to_vec(), beat, seed, 0);
--- a/crates/membership/src/news.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,10 +1,10 @@
-//! News (gossip queue): which places there is news about, and how often it was told.
+//! News (gossip queue): which addresses there is news about, and how often it was told.
 
 use types::NodeAddress;
 
-/// What the current word on a place is gets looked up when it is sent, so that only the newest is told.
+/// What the current word on a address is gets looked up when it is sent, so that only the newest is told.
 #[derive(Debug, Default)]
-pub(crate) struct News {
+pub(crate) struct GossipQueue {
     items: Vec<Item>,
 }
 
@@ -14,19 +14,19 @@
     sent: u32,
 }
 
-impl News {
+impl GossipQueue {
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// There is something new about a place, to be told from the first time again.
+    /// There is something new about a address, to be told from the first time again.
     pub fn tell(&mut self, about: NodeAddress) {
         self.items.retain(|item| item.about != about);
         self.items.insert(0, Item { about, sent: 0 });
     }
 
-    /// The places to tell of, least told first.
-    pub fn places(&self) -> impl Iterator<Item = NodeAddress> {
+    /// The addresses to tell of, least told first.
+    pub fn addresses(&self) -> impl Iterator<Item = NodeAddress> {
         self.items.iter().map(|item| item.about)
     }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,133 +1,163 @@
-//! Company (membership): nodes know each other by probes in turn, second opinions, suspicion before removal,
-//! refutation and lives. No I/O: time and events in, effects out.
+//! Cluster membership after SWIM: periodic probes, indirect probes through other members, suspicion before a member is
+//! declared dead, refutation by incarnation numbers, and gossip of every change. No I/O: time and events go in, effects
+//! come out.
 //!
-//! `docs/company.md` tells the ways that were weighed and the rules that were settled.
+//! `docs/membership.md` describes the alternatives that were considered and the rules that were settled on.
 
-mod news;
+mod gossip;
 mod node;
 mod roster;
 mod timing;
 
-pub use node::Company;
+use std::fmt;
+
+pub use node::Membership;
 use serde::{Deserialize, Serialize};
 pub use timing::Timing;
 use types::{NodeAddress, NodeVersion, RunId};
 
-/// Members known at once; the dead and gone make room first, then newcomers are not taken in.
+/// Other members known at once. When the roster is full, dead members and those that left are dropped first; if there are
+/// none, newcomers are ignored.
 pub const MEMBERS_MAX: usize = 512;
-/// Bytes of a zone or a name; longer ones are cut at the start and refused from others.
+/// Longest zone or name in bytes. The node's own are truncated at its start; updates with longer ones are ignored.
 pub const NAME_BYTES_MAX: usize = 100;
-/// No message is longer on the wire (postcard), so each fits into one datagram.
+/// Upper bound of an encoded message (postcard), so that each fits into one datagram.
 pub const MESSAGE_BYTES_MAX: usize = 1_100;
-/// Seeds kept of those the driver tells.
+/// Seed addresses kept of those that the driver gives.
 pub const SEEDS_MAX: usize = 16;
 
-/// What a node does.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Part {
-    Foyer,
-    Prompter,
+/// What a node does in the system.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub enum Role {
+    /// Carries traffic.
+    Gateway,
+    /// Keeps the ordered, replicated state.
+    ControlNode,
+}
+
+// The traces of the simulation contain this text, with the names that the roles had before.
+impl fmt::Debug for Role {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Role::Gateway => "Foyer",
+            Role::ControlNode => "Prompter",
+        })
+    }
 }
 
-/// One life of a node, as it tells of itself.
+/// One run of a node's process, as the node describes itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    pub place: NodeAddress,
-    pub life: RunId,
-    pub part: Part,
+    pub address: NodeAddress,
+    /// Drawn when the process starts; another run at the same address is another member.
+    pub run_id: RunId,
+    pub role: Role,
     pub zone: String,
     pub name: String,
-    pub edition: NodeVersion,
+    pub version: NodeVersion,
 }
 
-/// What is held of a member. `Dead` is withdrawn when the member refutes it; `Left` is final for a life.
+/// What a node believes of a member. `Dead` is withdrawn when the member refutes it; `Left` is final for a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberStatus {
     Alive,
     Suspect,
     Dead,
     Left,
 }
 
-impl Standing {
-    /// Is it still probed, asked and told of news?
-    pub fn up(self) -> bool {
-        matches!(self, Standing::Alive | Standing::Suspect)
+impl MemberStatus {
+    /// Whether the member counts as running: it is probed, asked for indirect probes and sent gossip.
+    pub fn is_up(self) -> bool {
+        matches!(self, MemberStatus::Alive | MemberStatus::Suspect)
     }
 }
 
-/// Orders what is said of one place: the higher one holds. Only raised, by the member or for a newer life of it.
+/// Orders the updates about one address: the highest incarnation wins. Raised by the member itself, to refute a suspicion,
+/// and by others only so that a newer run ranks above the one that it replaced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u32);
 
 impl Incarnation {
-    pub(crate) fn above(self) -> Incarnation {
+    pub(crate) fn next(self) -> Incarnation {
         Incarnation(self.0.saturating_add(1))
     }
 }
 
-/// Ties an answer to its probe within one life, which begins at a number drawn from it; 0 asks for nothing but a
-/// sign of life.
+/// Matches an acknowledgement to its probe. The numbers of a run start at a value derived from its run id. Probes with
+/// number 0 are not tracked: they only provoke a message from the target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Number(pub u32);
+pub struct ProbeNumber(pub u32);
 
-/// What one node says of another, or of itself.
+/// What a node states about another member, or about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumor {
+pub struct MemberUpdate {
     pub member: Member,
     pub incarnation: Incarnation,
-    pub standing: Standing,
+    pub status: MemberStatus,
 }
 
-/// A message: who speaks, what for, and news that ride along.
+/// A message between members, with the sender's own run and incarnation and piggybacked gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    pub life: RunId,
+    pub run_id: RunId,
     pub incarnation: Incarnation,
-    pub talk: Talk,
-    pub news: Vec<Rumor>,
+    pub body: MessageBody,
+    pub updates: Vec<MemberUpdate>,
 }
 
-/// What a message is for.
+/// The purpose of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Talk {
-    /// A newcomer, named in the news, asks for the members.
+pub enum MessageBody {
+    /// The sender, described in the updates, asks for the list of members.
     Join,
-    /// Nothing but the news.
-    News,
-    /// Are you there? `life` is whom the sender expects.
-    Probe { life: RunId, number: Number },
-    /// Yes. `sum` is the digest of all living members known there.
-    Answer { number: Number, sum: u32 },
-    /// Second opinion: probe that one for me.
-    AskFor { place: NodeAddress, number: Number },
-    /// It answered me.
-    Vouch { place: NodeAddress, number: Number },
-    /// It did not answer me either (so the silence is not the asker's own).
-    Doubt { place: NodeAddress, number: Number },
-    /// I don't know your life: tell your name.
-    Who,
-    /// Digests of the living members by ranges of places; where they differ, the members are told.
-    Compare { sums: [u32; 8], back: bool },
+    /// Carries updates only.
+    Gossip,
+    /// Asks for an `Ack`. `run_id` is the run that the sender expects at this address.
+    Probe { run_id: RunId, number: ProbeNumber },
+    /// Answers a probe. `digest` covers all members that are up according to the sender, itself included.
+    Ack { number: ProbeNumber, digest: u32 },
+    /// Asks the receiver to probe `target` on behalf of the sender.
+    IndirectProbe { target: NodeAddress, number: ProbeNumber },
+    /// `target` acknowledged the probe that was sent on behalf of the receiver.
+    IndirectAck { target: NodeAddress, number: ProbeNumber },
+    /// `target` did not acknowledge that probe either, so the fault is not the receiver's own link.
+    IndirectNack { target: NodeAddress, number: ProbeNumber },
+    /// The sender does not know the receiver's run and asks it to describe itself.
+    IdentityRequest,
+    /// Digests of the members that are up, by ranges of addresses. For each range that differs, the receiver sends its
+    /// members; with `reply_wanted` it also sends its own digests, so that the comparison works in both directions.
+    CompareDigests { digests: [u32; 8], reply_wanted: bool },
 }
 
+/// Input of `Membership::step`.
 #[derive(Clone, Debug)]
 pub enum Event {
+    /// Time has passed; expected at `Membership::due` at the latest.
     Tick,
     Received {
         from: NodeAddress,
         message: Message,
     },
-    /// Places that may know others; asked while too few are known, and now and then to heal a split.
+    /// Addresses of nodes that may know other members. Asked while too few members are known, and from time to time to
+    /// heal a partition.
     Seeds {
-        places: Vec<NodeAddress>,
+        addresses: Vec<NodeAddress>,
     },
-    /// This node ends in order. Nothing is answered or sent afterwards.
+    /// This node leaves in order. Afterwards it neither answers nor sends anything.
     Leave,
 }
 
+/// Output of `Membership::step`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    Send { to: NodeAddress, message: Message },
-    Changed { member: Member, standing: Standing },
+    Send {
+        to: NodeAddress,
+        message: Message,
+    },
+    /// What this node believes of a member has changed.
+    StatusChanged {
+        member: Member,
+        status: MemberStatus,
+    },
 }
--- a/crates/playhouse/src/commands/check.rs
+++ b/crates/playhouse/src/commands/check.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use configuration::Bill;
-use membership::Part;
+use membership::Role;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 
@@ -32,11 +32,11 @@
     Prompter,
 }
 
-impl From<Named> for Part {
-    fn from(named: Named) -> Part {
+impl From<Named> for Role {
+    fn from(named: Named) -> Role {
         match named {
-            Named::Foyer => Part::Foyer,
-            Named::Prompter => Part::Prompter,
+            Named::Foyer => Role::Gateway,
+            Named::Prompter => Role::ControlNode,
         }
     }
 }
@@ -73,7 +73,7 @@
 
 fn settings(path: &Path, part: Option<Named>) -> Result<Looked, Failed> {
     let (faults, holds) = match Settings::read(path) {
-        Ok(settings) => match part.map(Part::from).or_else(|| settings.part()) {
+        Ok(settings) => match part.map(Role::from).or_else(|| settings.part()) {
             Some(part) => (told(&settings.lacking(part)), holds(&settings, part)),
             None => {
                 let expected = "nothing; expected Control for a prompter, Frontend and Readiness for a foyer";
@@ -99,7 +99,7 @@
 }
 
 /// All that holds, by the file's own keys, also where the file says nothing.
-fn holds(settings: &Settings, part: Part) -> String {
+fn holds(settings: &Settings, part: Role) -> String {
     let Settings {
         listen_addresses: listen,
         limit_set: limits,
@@ -111,7 +111,7 @@
     let [low, high] = settings.internal_port_range;
     let address = |address: Option<std::net::SocketAddrV4>| address.map_or("-".to_owned(), |a| a.to_string());
     let rows = [
-        ("part", if part == Part::Foyer { "foyer" } else { "prompter" }.to_owned()),
+        ("part", if part == Role::Gateway { "foyer" } else { "prompter" }.to_owned()),
         ("NodeName", settings.node_name.clone()),
         ("IpAddress", settings.ip_address.to_string()),
         ("Zone", settings.zone.clone()),
--- a/crates/playhouse/src/commands/mod.rs
+++ b/crates/playhouse/src/commands/mod.rs
@@ -17,7 +17,7 @@
 
 use clap::{CommandFactory, Parser, Subcommand};
 use log::LevelFilter;
-use membership::Part;
+use membership::Role;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 
@@ -169,8 +169,10 @@
         Failed::Process(error)
     };
     match verb {
-        Verb::Foyer(serve) => foyer::run(settings(Part::Foyer)?, serve.metrics).await.map_err(ended),
-        Verb::Prompter(serve) => prompter::run(settings(Part::Prompter)?, serve.metrics).await.map_err(ended),
+        Verb::Foyer(serve) => foyer::run(settings(Role::Gateway)?, serve.metrics).await.map_err(ended),
+        Verb::Prompter(serve) => {
+            prompter::run(settings(Role::ControlNode)?, serve.metrics).await.map_err(ended)
+        }
         Verb::Check(check) => check.run(),
         Verb::Config(config) => config.run().await,
         Verb::Rollout(rollout) => rollout.run().await,
--- a/crates/playhouse/src/commands/view.rs
+++ b/crates/playhouse/src/commands/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use membership::{Part, Standing};
+use membership::{MemberStatus, Role};
 use registry::State;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
@@ -33,12 +33,12 @@
     format!("{:x}", life.0)
 }
 
-fn standing(standing: Standing) -> &'static str {
+fn standing(standing: MemberStatus) -> &'static str {
     match standing {
-        Standing::Alive => "alive",
-        Standing::Suspect => "suspect",
-        Standing::Dead => "dead",
-        Standing::Left => "left",
+        MemberStatus::Alive => "alive",
+        MemberStatus::Suspect => "suspect",
+        MemberStatus::Dead => "dead",
+        MemberStatus::Left => "left",
     }
 }
 
@@ -59,7 +59,7 @@
         .map(|seat| simd_json::json!({ "Place": seat.address.to_string(), "Life": life(seat.disk_id) }))
         .collect();
     let mut members = vec![member(house, now, &house.own, "alive")];
-    let others = house.company.members().filter(|(member, _)| member.place != house.own.place);
+    let others = house.company.members().filter(|(member, _)| member.address != house.own.address);
     members.extend(others.map(|(one, stands)| member(house, now, one, standing(stands))));
     let rollouts: Vec<OwnedValue> =
         house.script.rollouts.values().map(|rollout| trial(control, now, rollout)).collect();
@@ -83,7 +83,7 @@
     simd_json::json!({
         "Node": {
             "Name": house.own.name.clone(), "Place": seat.address.to_string(), "Life": life(seat.disk_id),
-            "Program": house.own.edition.program.to_string(),
+            "Program": house.own.version.program.to_string(),
         },
         "AgreedForm": house.script.agreed().0,
         "WordsRefused": house.refused(),
@@ -104,18 +104,18 @@
 }
 
 fn member(house: &House, now: Micros, member: &membership::Member, standing: &str) -> OwnedValue {
-    let part = match member.part {
-        Part::Foyer => "foyer",
-        Part::Prompter => "prompter",
+    let part = match member.role {
+        Role::Gateway => "foyer",
+        Role::ControlNode => "prompter",
     };
     let here = house.board.index().0;
-    let behind = house.holds(member.place, HEARD_WITHIN).map(|index| here.saturating_sub(index.0));
+    let behind = house.holds(member.address, HEARD_WITHIN).map(|index| here.saturating_sub(index.0));
     simd_json::json!({
-        "Name": member.name.clone(), "Place": member.place.to_string(), "Life": life(member.life), "Part": part,
+        "Name": member.name.clone(), "Place": member.address.to_string(), "Life": life(member.run_id), "Part": part,
         "Zone": member.zone.clone(), "Standing": standing,
-        "SinceS": house.company.since(member.place).map(|since| seconds(now - since)),
-        "Behind": behind, "Program": member.edition.program.to_string(),
-        "OldestForm": member.edition.formats.oldest.0, "NewestForm": member.edition.formats.newest.0,
+        "SinceS": house.company.status_since(member.address).map(|since| seconds(now - since)),
+        "Behind": behind, "Program": member.version.program.to_string(),
+        "OldestForm": member.version.formats.oldest.0, "NewestForm": member.version.formats.newest.0,
     })
 }
 
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -7,7 +7,7 @@
 use consensus::{Effect, Entry, Event, Members, Message, Promptbook, Release, Saved, What, Write, WriteNo};
 use control_state::{Command, Count, Outcome};
 use intent::{Inspector, inspector};
-use membership::{Part, Standing};
+use membership::{MemberStatus, Role};
 use registry::{Beat, InstanceId};
 use types::{CallId, Carrier, FormatVersion, LogIndex, MS, Micros, NodeAddress, SECOND, VoterId};
 
@@ -189,15 +189,15 @@
     }
 
     fn inspect_members(&mut self, now: Micros) {
-        let mut foyers: Vec<_> = self.house.company.up(Part::Foyer).collect();
-        foyers.sort_by_key(|foyer| foyer.place);
+        let mut foyers: Vec<_> = self.house.company.up(Role::Gateway).collect();
+        foyers.sort_by_key(|foyer| foyer.address);
         let mut zones: Vec<&str> = foyers.iter().map(|foyer| &*foyer.zone).collect();
         zones.sort_unstable();
         zones.dedup();
         let zone = |name: &str| zones.binary_search(&name).unwrap_or(0) as u16;
         let members = foyers.iter().map(|foyer| intent::judge::Member {
-            place: foyer.place,
-            life: foyer.life,
+            place: foyer.address,
+            life: foyer.run_id,
             zone: zone(&foyer.zone),
         });
         let members = members.collect();
@@ -334,11 +334,11 @@
         let proved = self.book.proved();
         let voters = u8::try_from(self.book.members().0.len()).unwrap_or(u8::MAX);
         let standing = match proved {
-            Some((term, at)) => replication::Standing::Proved { term, age: (now - at).max(0) },
+            Some((term, at)) => replication::Freshness::Proven { term, age: (now - at).max(0) },
             None if self.book.is_member() && self.book.leader().is_none() => {
-                replication::Standing::Started { voters }
+                replication::Freshness::JustStarted { voters }
             }
-            None => replication::Standing::Unproved,
+            None => replication::Freshness::Unproven,
         };
         let leader = self.book.leader().map(|seat| seat.address);
         self.house.stands(now, standing, proved.map(|(_, at)| at), leader);
@@ -429,7 +429,7 @@
 
     /// What a leader adds to the log of its own accord: verdicts, and the first version of a service.
     fn lead(&mut self, now: Micros) {
-        let foyers = self.house.up(Part::Foyer).len();
+        let foyers = self.house.up(Role::Gateway).len();
         for command in self.count.verdicts(now, &self.house.script, foyers) {
             log::info!("from the votes: {command:?}");
             self.propose(now, &command);
@@ -497,13 +497,13 @@
     /// while it is a voter, as it may come back; else no more.
     fn read_by_all(&self) -> Option<FormatVersion> {
         let (own, company) = (&self.house.own, &self.house.company);
-        let mut newest = own.edition.formats.newest;
-        for seat in self.book.members().0.iter().filter(|seat| seat.address != own.place) {
-            newest = newest.min(company.member(seat.address)?.edition.formats.newest);
+        let mut newest = own.version.formats.newest;
+        for seat in self.book.members().0.iter().filter(|seat| seat.address != own.address) {
+            newest = newest.min(company.member(seat.address)?.version.formats.newest);
         }
-        let known = company.members().filter(|(_, standing)| *standing != Standing::Left);
+        let known = company.members().filter(|(_, standing)| *standing != MemberStatus::Left);
         known
-            .map(|(member, _)| member.edition.formats.newest)
+            .map(|(member, _)| member.version.formats.newest)
             .min()
             .map(|least| newest.min(least))
             .or(Some(newest))
@@ -590,7 +590,7 @@
                     self.tell(ask, Told::BeatNotTaken);
                 }
                 Happened::Peers => {
-                    let places = self.house.up(Part::Prompter);
+                    let places = self.house.up(Role::ControlNode);
                     self.log(now, Event::Peers { places });
                     self.inspect_members(now);
                 }
--- a/crates/playhouse/src/demo/mod.rs
+++ b/crates/playhouse/src/demo/mod.rs
@@ -19,7 +19,7 @@
 use client::{Counts, Crowd, Kind, Platform};
 use hyper::{Method, StatusCode};
 use instance::{Instance, Plan, Record};
-use membership::Part;
+use membership::Role;
 use operator::{Operator, Route, change, items, whole};
 use stage::{NodeNo, Stage};
 
@@ -141,7 +141,7 @@
         let leader = until("a leader", || operator.leader()).await?;
         let name = stage.at(*leader.ip()).map(|node| stage.name(node).to_owned()).unwrap_or_default();
         writeln!(to, "{name} was elected to lead.")?;
-        let foyers = stage.nodes(Part::Foyer);
+        let foyers = stage.nodes(Role::Gateway);
         let doors = foyers.iter().map(|foyer| (stage.frontend(*foyer), stage.readiness(*foyer))).collect();
         let routes = vec![
             Route::new("view", HOST, "/view/", "safe", SERVICES[0]),
@@ -339,7 +339,7 @@
         let leader = until("a leader", || operator.leader()).await?;
         let node = self.stage.at(*leader.ip()).ok_or("the leader is no node of this stage")?;
         self.stage.kill(node)?;
-        if self.stage.nodes(Part::Prompter).len() < 3 {
+        if self.stage.nodes(Role::ControlNode).len() < 3 {
             // The others are no majority without it.
             self.stage.start(node)?;
         }
--- a/crates/playhouse/src/demo/stage.rs
+++ b/crates/playhouse/src/demo/stage.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-use membership::Part;
+use membership::Role;
 
 use crate::settings::VARIABLE;
 
@@ -109,7 +109,7 @@
 /// One node, running or not.
 #[derive(Debug)]
 struct Node {
-    part: Part,
+    part: Role,
     name: String,
     address: Ipv4Addr,
     child: Option<Child>,
@@ -170,7 +170,7 @@
             ports: free_ports(at(0))?,
             addresses,
         };
-        let parts = [(Part::Prompter, "prompter", plan.prompters), (Part::Foyer, "foyer", plan.foyers)];
+        let parts = [(Role::ControlNode, "prompter", plan.prompters), (Role::Gateway, "foyer", plan.foyers)];
         for (part, name, count) in parts {
             for number in 1..=count {
                 let (name, address) = (format!("{name}-{number}"), at(stage.nodes.len() as u8));
@@ -188,7 +188,7 @@
     }
 
     /// The nodes that play a part, whether they run or not.
-    pub fn nodes(&self, part: Part) -> Vec<NodeNo> {
+    pub fn nodes(&self, part: Role) -> Vec<NodeNo> {
         (0..self.nodes.len()).filter(|n| self.nodes[*n].part == part).map(NodeNo).collect()
     }
 
@@ -213,7 +213,7 @@
 
     /// All prompters' addresses, in order.
     pub fn controls(&self) -> Vec<SocketAddrV4> {
-        self.nodes(Part::Prompter).into_iter().map(|node| self.control(node)).collect()
+        self.nodes(Role::ControlNode).into_iter().map(|node| self.control(node)).collect()
     }
 
     /// The prompter at an address.
@@ -235,14 +235,14 @@
         let (address, zone) = (node.address, ZONES[number.0 % ZONES.len()]);
         let seeds: Vec<String> = self.controls().iter().take(3).map(|seed| format!("\"{seed}\"")).collect();
         let (class, served, listen, disk) = match node.part {
-            Part::Foyer => {
+            Role::Gateway => {
                 let listen = format!(
                     "Frontend = \"{address}:{}\"\nReadiness = \"{address}:{}\"",
                     ports.frontend, ports.readiness
                 );
                 ("edge", "edge", listen, String::new())
             }
-            Part::Prompter => {
+            Role::ControlNode => {
                 let data = self.path(number, "-data");
                 fs::create_dir_all(&data).map_err(|error| StageError::File {
                     what: "can't make",
@@ -287,8 +287,8 @@
         };
         let (out, err) = open(&path).map_err(|error| StageError::File { what: "can't open", path, error })?;
         let verb = match self.nodes[number.0].part {
-            Part::Foyer => "foyer",
-            Part::Prompter => "prompter",
+            Role::Gateway => "foyer",
+            Role::ControlNode => "prompter",
         };
         let child = Command::new(&self.program)
             .arg(verb)
--- a/crates/playhouse/src/demo/unrest.rs
+++ b/crates/playhouse/src/demo/unrest.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use hyper::{Method, StatusCode};
-use membership::Part;
+use membership::Role;
 use oorandom::Rand64;
 
 use super::client::{Ask, Crowd, Kind, Line, Platform};
@@ -82,7 +82,7 @@
         stage.start_all()?;
         let now = Instant::now();
         let gateway = |node| Gateway { node, to: stage.frontend(node), line: None, since: now, ends: false };
-        let gateways = stage.nodes(Part::Foyer).into_iter().map(gateway).collect();
+        let gateways = stage.nodes(Role::Gateway).into_iter().map(gateway).collect();
         let operator = Operator::new(stage.controls());
         let mut unrest = Unrest {
             stage,
@@ -172,7 +172,7 @@
     /// One signal, or none, to one gateway or control machine.
     pub fn disturb(&mut self) -> Result<(), UnrestError> {
         let at = self.drawn(self.gateways.len());
-        let core = self.stage.nodes(Part::Prompter)[self.drawn(PROMPTERS)];
+        let core = self.stage.nodes(Role::ControlNode)[self.drawn(PROMPTERS)];
         let Gateway { node, ends, .. } = self.gateways[at];
         match self.drawn(10) {
             0..=2 if !ends => self.stage.reload(node)?,
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -15,7 +15,7 @@
 };
 use indexmap::IndexMap;
 use intent::{Intent, Usher, usher, ward};
-use membership::Part;
+use membership::Role;
 use types::{Carrier, MS, Micros, NodeAddress, SECOND};
 
 use crate::house::{Happened, House, Letter, Word};
@@ -225,16 +225,16 @@
         };
         simd_json::json!({
             "Node": self.house.own.name.as_str(),
-            "Program": self.house.own.edition.program.to_string(),
-            "OldestForm": self.house.own.edition.formats.oldest.0,
-            "NewestForm": self.house.own.edition.formats.newest.0,
+            "Program": self.house.own.version.program.to_string(),
+            "OldestForm": self.house.own.version.formats.oldest.0,
+            "NewestForm": self.house.own.version.formats.newest.0,
             "AgreedForm": self.house.script.agreed().0,
             "WordsRefused": self.house.refused(),
             "Ready": self.ready(),
             "NotReadyFor": why,
             "ConfigVersion": self.bill.as_ref().map(|bill| bill.version.to_string()),
             "LogIndex": self.house.script.index().0,
-            "Prompters": self.house.up(Part::Prompter).len() as u64,
+            "Prompters": self.house.up(Role::ControlNode).len() as u64,
             "Foyers": self.foyers.len() as u64,
             "RequestsInHand": self.open.len() as u64,
             "TurnedBack": self.turned_back,
@@ -250,7 +250,7 @@
     pub fn check_intent(&mut self, now: Micros) {
         let own = &self.house.own;
         let tuning = intent::Tuning::of_apply(micros(self.settings.timer_bounds.config_apply_s));
-        self.usher = Some(Usher::start(own.place, own.life, tuning, self.seed ^ 5, now));
+        self.usher = Some(Usher::start(own.address, own.run_id, tuning, self.seed ^ 5, now));
         self.tell_usher(now);
     }
 
@@ -363,7 +363,7 @@
     /// The part of what is shared is this foyer's at once; all else is worked out soon, or now (`true`) where
     /// there is no configuration to work it out from.
     fn peers_changed(&mut self, now: Micros) -> bool {
-        let foyers = self.house.up(Part::Foyer).len() + 1;
+        let foyers = self.house.up(Role::Gateway).len() + 1;
         self.party.note(now, foyers);
         self.purse.borrow_mut().foyers(now, foyers);
         if self.bill.is_some() {
@@ -375,10 +375,10 @@
     /// The configuration, a roll-out or the number of foyers is another.
     fn script_changed(&mut self, now: Micros) {
         self.peers_due = Micros::MAX;
-        let mut foyers = self.house.up(Part::Foyer);
-        foyers.push(self.house.own.place);
+        let mut foyers = self.house.up(Role::Gateway);
+        foyers.push(self.house.own.address);
         foyers.sort_unstable();
-        let index = foyers.iter().position(|place| *place == self.house.own.place).unwrap_or(0);
+        let index = foyers.iter().position(|place| *place == self.house.own.address).unwrap_or(0);
         (self.fleet.gateways, self.fleet.index) = (foyers.len(), index);
         self.foyers.clone_from(&foyers);
         self.party.note(now, foyers.len());
@@ -403,7 +403,7 @@
             let share = share(Some(&bill), &service, foyers.len());
             desk.share(share);
             let known = self.house.cast.records().filter(|known| *known.service == *service);
-            let own = self.house.own.place;
+            let own = self.house.own.address;
             let known = known.map(|known| (known, share.before(own, &foyers, &known.id.0)));
             desk.instances(known, rollout);
             if let Some(rollout) = rollout {
@@ -418,7 +418,7 @@
         if self.usher.is_none() {
             return;
         }
-        let (foyers, hubs) = (self.foyers.clone(), self.house.up(Part::Prompter));
+        let (foyers, hubs) = (self.foyers.clone(), self.house.up(Role::ControlNode));
         self.ushered(now, usher::Event::Peers { foyers, hubs });
         if let Some(taken) = self.house.intent() {
             self.ushered(now, usher::Event::Taken(Arc::new(taken)));
@@ -464,7 +464,7 @@
         }
         let Some(desk) = self.desks.get_mut(known.service.as_str()) else { return };
         let share = share(self.bill.as_deref(), &known.service, self.foyers.len());
-        let before = share.before(self.house.own.place, &self.foyers, &known.id.0);
+        let before = share.before(self.house.own.address, &self.foyers, &known.id.0);
         desk.instances([(known, before)].into_iter(), self.house.script.rollouts.get(&known.service));
         let service = desk.service.clone();
         self.decide(&service, |_| {});
@@ -596,7 +596,7 @@
         if votes.is_empty() {
             return;
         }
-        for place in self.house.up(Part::Prompter) {
+        for place in self.house.up(Role::ControlNode) {
             for vote in &votes {
                 self.house.send(place, Word::Vote(vote.clone()));
             }
--- a/crates/playhouse/src/foyer/mod.rs
+++ b/crates/playhouse/src/foyer/mod.rs
@@ -22,7 +22,7 @@
 
 use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
 use hyper::Response;
-use membership::Part;
+use membership::Role;
 use tokio::sync::oneshot;
 use transport::{Arrived, Post};
 use types::{MS, Micros, NodeAddress, RunId, SECOND};
@@ -91,7 +91,7 @@
     let (post, mut mail) =
         Post::bind(settings.ip_address, settings.internal_port(), transport::PostLimits::default())?;
     let now = clock.now();
-    let member = settings.member(Part::Foyer, RunId(chance()));
+    let member = settings.member(Role::Gateway, RunId(chance()));
     let house = House::start(member, settings.seeds(), micros(settings.heartbeat_s), chance(), now);
     let changed = Rc::new(tokio::sync::Notify::new());
     let foyer = Foyer {
--- a/crates/playhouse/src/metrics.rs
+++ b/crates/playhouse/src/metrics.rs
@@ -10,7 +10,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode, header};
-use membership::Part;
+use membership::Role;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -34,10 +34,10 @@
     pub fn of(house: &House, post: PostStats) -> Metrics {
         let mut metrics = Metrics(Registry::with_prefix("garnetdoor"));
         let news = house.board.stats();
-        metrics.gauge("news_held_index", "Last ordered command held here", news.held.0);
-        metrics.gauge("news_known_index", "Newest ordered command heard of", news.known.0);
-        metrics.counter("news_asks", "Asks for missing commands", news.asks);
-        metrics.counter("news_asks_unanswered", "Asks without an answer in time", news.asks_unanswered);
+        metrics.gauge("news_held_index", "Last ordered command held here", news.held_index.0);
+        metrics.gauge("news_known_index", "Newest ordered command heard of", news.known_index.0);
+        metrics.counter("news_asks", "Asks for missing commands", news.pulls);
+        metrics.counter("news_asks_unanswered", "Asks without an answer in time", news.pulls_unanswered);
         metrics.gauge("news_longest_gap_micros", "Longest time behind", news.longest_gap.max(0) as u64);
         let watches = house.board.watch_stats();
         if let Some(age) = house.news_age() {
@@ -46,15 +46,23 @@
         metrics.counter(
             "watches_left_silent",
             "Control machines left as they were silent",
-            watches.left_silent,
+            watches.dropped_silent,
+        );
+        metrics.counter(
+            "watches_left_old",
+            "Control machines left as their news was old",
+            watches.dropped_stale,
         );
-        metrics.counter("watches_left_old", "Control machines left as their news was old", watches.left_old);
         metrics.gauge("watchers", "Gateways that watch this control machine", house.watchers() as u64);
         metrics.gauge("watchers_held_dead", "Of these, held dead here", house.watchers_held_dead() as u64);
         metrics.counter("commands_not_taken", "Commands that changed nothing", house.not_taken());
         metrics.counter("words_refused", "Messages of forms not read here", house.refused());
-        metrics.gauge("control_machines_up", "Others, as seen here", house.up(Part::Prompter).len() as u64);
-        metrics.gauge("gateways_up", "Others, as seen here", house.up(Part::Foyer).len() as u64);
+        metrics.gauge(
+            "control_machines_up",
+            "Others, as seen here",
+            house.up(Role::ControlNode).len() as u64,
+        );
+        metrics.gauge("gateways_up", "Others, as seen here", house.up(Role::Gateway).len() as u64);
         metrics.counter("members_declared_dead", "Members held dead, in turn", house.declared_dead());
         metrics.counter("datagrams_sent", "Datagrams given to the system", post.datagrams_sent);
         metrics.counter("datagrams_refused", "Datagrams not taken by the system", post.datagrams_refused);
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -14,7 +14,7 @@
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode, header};
-use membership::Part;
+use membership::Role;
 use simd_json::prelude::*;
 use storage::{Ledger, LedgerError, Opened, StoreError};
 use tokio::sync::oneshot;
@@ -92,7 +92,7 @@
     let now = clock.now();
     // Among the nodes it is the process that lives: one that has left in order is never heard again, and this
     // one may come back with the same disk.
-    let member = settings.member(Part::Prompter, RunId(chance()));
+    let member = settings.member(Role::ControlNode, RunId(chance()));
     let mut house = House::start(member, settings.seeds(), micros(settings.heartbeat_s), chance(), now);
     if let Some(bytes) = remembered {
         house.remember(now, &bytes);
--- a/crates/playhouse/src/settings.rs
+++ b/crates/playhouse/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 
-use membership::{Member, Part};
+use membership::{Member, Role};
 use types::{MS, Micros, NodeAddress, NodeVersion, RunId, SECOND};
 
 /// Where the settings file's path stands.
@@ -236,7 +236,7 @@
     }
 
     /// As `read`, and with what a process that plays `part` can't do without.
-    pub fn read_for(path: &Path, part: Part) -> Result<Settings, SettingsError> {
+    pub fn read_for(path: &Path, part: Role) -> Result<Settings, SettingsError> {
         let settings = Settings::read(path)?;
         let faults = settings.lacking(part);
         if faults.is_empty() {
@@ -247,23 +247,23 @@
     }
 
     /// The part that the addresses in the file are for; `None` where there are none.
-    pub fn part(&self) -> Option<Part> {
+    pub fn part(&self) -> Option<Role> {
         let listen = &self.listen_addresses;
         if listen.control.is_some() {
-            return Some(Part::Prompter);
+            return Some(Role::ControlNode);
         }
-        (listen.frontend.is_some() || listen.readiness.is_some()).then_some(Part::Foyer)
+        (listen.frontend.is_some() || listen.readiness.is_some()).then_some(Role::Gateway)
     }
 
     /// What a process of a part needs and the file does not tell.
-    pub fn lacking(&self, part: Part) -> Vec<Fault> {
+    pub fn lacking(&self, part: Role) -> Vec<Fault> {
         let listen = &self.listen_addresses;
         let wanted = match part {
-            Part::Foyer => [
+            Role::Gateway => [
                 ("ListenAddresses.Frontend", listen.frontend.is_some(), "the IP:port for clients"),
                 ("ListenAddresses.Readiness", listen.readiness.is_some(), "the IP:port for the platform"),
             ],
-            Part::Prompter => [
+            Role::ControlNode => [
                 (
                     "ListenAddresses.Control",
                     listen.control.is_some(),
@@ -382,9 +382,9 @@
     }
 
     /// This node as it tells of itself.
-    pub fn member(&self, part: Part, life: RunId) -> Member {
+    pub fn member(&self, part: Role, life: RunId) -> Member {
         let (zone, name) = (self.zone.clone(), self.node_name.clone());
-        Member { place: self.place(), life, part, zone, name, edition: NodeVersion::CURRENT }
+        Member { address: self.place(), run_id: life, role: part, zone, name, version: NodeVersion::CURRENT }
     }
 
     pub fn place(&self) -> NodeAddress {
--- a/crates/rehearsal/src/world/operators.rs
+++ b/crates/rehearsal/src/world/operators.rs
@@ -370,7 +370,7 @@
 
     pub(crate) fn core(&self) -> Vec<usize> {
         let core =
-            |at: &usize| self.machines[*at].part == membership::Part::Prompter && !self.machines[*at].gone;
+            |at: &usize| self.machines[*at].part == membership::Role::ControlNode && !self.machines[*at].gone;
         (0..self.machines.len()).filter(core).collect()
     }
 
--- a/crates/replication/src/proof.rs
+++ b/crates/replication/src/freshness.rs
@@ -6,7 +6,7 @@
 
 use types::{LogIndex, MS, Micros, NodeAddress, SECOND};
 
-use crate::{Effect, Message, PEERS_MAX, Standing};
+use crate::{Effect, Freshness, Message, PEERS_MAX};
 
 /// A proof that is older says nothing: a machine that was in touch lately has one of a second, and one that looks for
 /// a leader after a loss has found it by then.
@@ -45,7 +45,7 @@
         if self.asked.is_none_or(|at| now - at >= CONTACT_EVERY) {
             self.asked = Some(now);
             self.open.get_or_insert(now);
-            out.push(Effect::Send { to, message: Message::Prove });
+            out.push(Effect::Send { to, message: Message::FreshnessRequest });
         }
     }
 
@@ -60,7 +60,7 @@
 /// What the sources have answered.
 #[derive(Debug, Default)]
 pub(crate) struct Proofs {
-    answers: BTreeMap<NodeAddress, (Micros, LogIndex, Standing)>,
+    answers: BTreeMap<NodeAddress, (Micros, LogIndex, Freshness)>,
     asked: BTreeMap<NodeAddress, Micros>,
     /// When the first was asked.
     began: Option<Micros>,
@@ -97,36 +97,36 @@
             return;
         }
         self.began.get_or_insert(now);
-        self.asked.retain(|place, _| hubs.contains(place));
+        self.asked.retain(|address, _| hubs.contains(address));
         for to in hubs.iter().take(PEERS_MAX) {
             if self.asked.get(to).is_none_or(|at| now >= at + self.pace(*at)) {
                 self.asked.insert(*to, now);
-                out.push(Effect::Send { to: *to, message: Message::Prove });
+                out.push(Effect::Send { to: *to, message: Message::FreshnessRequest });
             }
         }
     }
 
     /// Only those that were asked are heard, so that what is kept is bounded by them.
-    pub fn answered(&mut self, now: Micros, from: NodeAddress, index: LogIndex, standing: Standing) {
+    pub fn answered(&mut self, now: Micros, from: NodeAddress, index: LogIndex, freshness: Freshness) {
         if self.done || self.needs.is_some() || !self.asked.contains_key(&from) {
             return;
         }
-        if let Standing::Proved { age, .. } = standing
+        if let Freshness::Proven { age, .. } = freshness
             && (0..=YOUNG).contains(&age)
         {
             self.needs = Some(index);
             return;
         }
-        self.answers.retain(|place, (at, ..)| self.asked.contains_key(place) && now - *at < COUNTS_FOR);
-        self.answers.insert(from, (now, index, standing));
+        self.answers.retain(|address, (at, ..)| self.asked.contains_key(address) && now - *at < COUNTS_FOR);
+        self.answers.insert(from, (now, index, freshness));
         self.needs = self.started();
     }
 
     /// Where a majority of the voters have just started, what the newest of them holds is as new as anything.
     fn started(&self) -> Option<LogIndex> {
         let (mut count, mut voters, mut newest) = (0, 0, LogIndex(0));
-        for (_, index, standing) in self.answers.values() {
-            if let Standing::Started { voters: of } = standing {
+        for (_, index, freshness) in self.answers.values() {
+            if let Freshness::JustStarted { voters: of } = freshness {
                 (count, voters, newest) = (count + 1, voters.max(usize::from(*of)), newest.max(*index));
             }
         }
--- a/crates/replication/src/gap.rs
+++ b/crates/replication/src/gap.rs
@@ -1,63 +1,78 @@
-//! How long a node has been behind what it has heard of, for people who look after the system. Nothing is decided by it.
+//! Measures for how long a node has been behind the newest command that it has heard of. For operators only: nothing is
+//! decided by it.
 
 use types::{LogIndex, Micros};
 
-/// Counters and gauges of the ordered news at one node.
+/// Counters and gauges of replication at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Stats {
-    /// The last command held here, and the newest one heard of.
-    pub held: LogIndex,
-    pub known: LogIndex,
-    /// Asks for what is missing, and those that another one had to follow, since the start.
-    pub asks: u64,
-    pub asks_unanswered: u64,
-    /// The longest time between hearing of a command and holding it, in microseconds.
+pub struct ReplicationStats {
+    /// The last command held here.
+    pub held_index: LogIndex,
+    /// The newest command heard of.
+    pub known_index: LogIndex,
+    /// Pulls sent since the start.
+    pub pulls: u64,
+    /// Those of them that got no answer in time.
+    pub pulls_unanswered: u64,
+    /// The longest time between hearing of a command and holding it.
     pub longest_gap: Micros,
 }
 
 /// A gap that has closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gap {
-    pub lasted: Micros,
-    /// Asks that got no answer meanwhile.
-    pub unanswered: u64,
+    pub duration: Micros,
+    /// Pulls that got no answer while the gap was open.
+    pub pulls_unanswered: u64,
 }
 
-/// Measures gaps: from the first word of a command that is not held here until all that was heard of is held.
+/// A gap that is still open.
+#[derive(Clone, Copy, Debug)]
+struct OpenGap {
+    since: Micros,
+    /// `Gaps::pulls_unanswered` when the gap opened.
+    pulls_unanswered_before: u64,
+}
+
+/// Measures gaps: from hearing of a command that is not held until everything heard of is held.
 #[derive(Debug, Default)]
 pub(crate) struct Gaps {
-    pub asks: u64,
-    pub unanswered: u64,
+    pub pulls: u64,
+    pub pulls_unanswered: u64,
     longest: Micros,
-    /// Since when, and how many asks had got no answer by then.
-    open: Option<(Micros, u64)>,
+    open: Option<OpenGap>,
     closed: Option<Gap>,
 }
 
 impl Gaps {
-    pub fn see(&mut self, now: Micros, held: LogIndex, known: LogIndex) {
+    /// Opens or closes the gap by what is held and known now.
+    pub fn update(&mut self, now: Micros, held: LogIndex, known: LogIndex) {
         if held < known {
-            self.open.get_or_insert((now, self.unanswered));
-        } else if let Some((since, unanswered)) = self.open.take() {
-            let gap = Gap { lasted: now - since, unanswered: self.unanswered - unanswered };
-            self.longest = self.longest.max(gap.lasted);
+            let pulls_unanswered_before = self.pulls_unanswered;
+            self.open.get_or_insert(OpenGap { since: now, pulls_unanswered_before });
+        } else if let Some(open) = self.open.take() {
+            let gap = Gap {
+                duration: now - open.since,
+                pulls_unanswered: self.pulls_unanswered - open.pulls_unanswered_before,
+            };
+            self.longest = self.longest.max(gap.duration);
             self.closed = Some(gap);
         }
     }
 
-    /// The latest gap that has closed since this was asked last.
-    pub fn closed(&mut self) -> Option<Gap> {
+    /// Takes the latest gap that has closed since the last call.
+    pub fn take_closed(&mut self) -> Option<Gap> {
         self.closed.take()
     }
 
-    pub fn stats(&self, now: Micros, held: LogIndex, known: LogIndex) -> Stats {
-        let open = self.open.map_or(0, |(since, _)| now - since);
-        Stats {
-            held,
-            known,
-            asks: self.asks,
-            asks_unanswered: self.unanswered,
-            longest_gap: self.longest.max(open),
+    pub fn stats(&self, now: Micros, held_index: LogIndex, known_index: LogIndex) -> ReplicationStats {
+        let open_for = self.open.map_or(0, |open| now - open.since);
+        ReplicationStats {
+            held_index,
+            known_index,
+            pulls: self.pulls,
+            pulls_unanswered: self.pulls_unanswered,
+            longest_gap: self.longest.max(open_for),
         }
     }
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,147 +1,157 @@
-//! Replication (of ordered news): the committed commands reach every node in order: passed on to a few, gaps mended by
-//! digests, whole states where pieces are missing, never back within a life. No I/O: time and events in,
-//! effects out.
+//! Replication of committed commands to the nodes that don't vote on them. Sources, which have the ordered log, push each
+//! command to the followers that watch them; followers pass it on to a few others. Gaps are found by digests and closed by
+//! pulls, or by a snapshot of the whole state where commands are no longer kept. Within one run a node's index never goes
+//! back. No I/O: time and events go in, effects come out.
 //!
-//! Commands form a chain of pieces, each naming the index of the command before it, since indices of the log
-//! have gaps where entries are no commands. A piece fits where its `prev` is not above what is held and its
-//! `index` is. `docs/replication.md` tells the ways that were weighed.
+//! Commands form a chain in which each names the index of the command before it, since the log has entries that are no
+//! commands, so their indices have gaps. A command can be applied where its `prev` is not above the index held and its own
+//! `index` is. `docs/replication.md` describes the alternatives that were considered.
 
 mod bytes;
+mod freshness;
 mod gap;
 mod node;
-mod proof;
 mod pushes;
-mod ring;
+mod recent;
 mod watch;
 mod watchers;
 
-pub use gap::{Gap, Stats};
+pub use gap::{Gap, ReplicationStats};
 pub use node::Replicator;
 use serde::{Deserialize, Serialize};
 use types::{FormatVersion, LogIndex, Micros, NodeAddress, Term};
 pub use watch::WatchStats;
 
-/// Pieces up to this many bytes are sent unasked; of bigger ones the index is told, and they are asked for.
-pub const SMALL_BYTES: usize = 1_000;
-/// Bytes of commands kept in memory to mend gaps of others.
-pub const RING_BYTES_MAX: usize = 512 * 1024;
-/// Peers of each kind taken note of.
+/// Commands up to this size are pushed whole. Of larger ones only the index is announced, and receivers pull them.
+pub const INLINE_BYTES_MAX: usize = 1_000;
+/// Bytes of recent commands kept in memory to close the gaps of other nodes.
+pub const RECENT_BYTES_MAX: usize = 512 * 1024;
+/// Largest number of peers remembered of each kind.
 pub const PEERS_MAX: usize = 512;
 
-/// Where this node's commands come from.
+/// Where a node gets its commands from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Its own log: told by `Committed`, never by others; nothing is applied through here.
+    /// From its own log, by `Event::Committed` and never from other nodes. It gets no `Effect::Apply`.
     Source,
-    /// Others: it gets `Apply` and `Restore`.
+    /// From other nodes; it gets `Effect::Apply` and `Effect::Restore`.
     Follower,
 }
 
-/// A command, and the index of the command before it.
+/// A command, with the index of the command before it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct ChainedCommand {
     pub prev: LogIndex,
     pub index: LogIndex,
     #[serde(with = "bytes")]
     pub data: Vec<u8>,
 }
 
+/// A message between replicators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Commands. `fresh` ones were committed just now and are passed on by whom they are new to. With `more`, the
-    /// answer to an ask goes on in another message.
-    Pieces { fresh: bool, more: bool, pieces: Vec<Piece> },
-    /// Digest: all up to `index` is here; the latest command has `weight` bytes. `fresh` as above.
-    Have { index: LogIndex, weight: u32, fresh: bool },
-    /// Asks for what follows `have`.
-    Want { have: LogIndex },
-    /// A state that stands in for all commands up to `index`.
-    Whole {
+    /// Commands in order. `fresh` ones were committed just now, and a node to which they are new passes them on. With
+    /// `more`, the answer to a pull continues in another message.
+    Commands { fresh: bool, more: bool, commands: Vec<ChainedCommand> },
+    /// The sender holds everything up to `index`, and its latest command has `latest_bytes` bytes. `fresh` as above; to a
+    /// source it is the acknowledgement of a push.
+    Digest { index: LogIndex, latest_bytes: u32, fresh: bool },
+    /// Asks for the commands after `held`.
+    Pull { held: LogIndex },
+    /// A whole state, which replaces all commands up to `index`.
+    Snapshot {
         index: LogIndex,
         #[serde(with = "bytes")]
         data: Vec<u8>,
     },
-    /// Asks a source how old at most what it holds is, and to be served by it for the next seconds. From form 2 on.
-    Prove,
-    /// A source's answer: all up to `index` is there. From form 2 on.
-    Proof { index: LogIndex, standing: Standing },
+    /// Asks a source how old the state that it holds can be at most, and to push to the sender for the next seconds.
+    /// Introduced in format version 2.
+    FreshnessRequest,
+    /// A source's answer: it holds everything up to `index`. Introduced in format version 2.
+    FreshnessProof { index: LogIndex, freshness: Freshness },
 }
 
 impl Message {
-    /// The form that brought this word: it is not sent to a node that reads less.
-    pub fn since(&self) -> FormatVersion {
+    /// The format version that introduced this message. It must not be sent to a node that reads only older versions.
+    pub fn introduced_in(&self) -> FormatVersion {
         match self {
-            Message::Pieces { .. } | Message::Have { .. } | Message::Want { .. } | Message::Whole { .. } => {
-                FormatVersion::V1
-            }
-            Message::Prove | Message::Proof { .. } => FormatVersion(2),
+            Message::Commands { .. }
+            | Message::Digest { .. }
+            | Message::Pull { .. }
+            | Message::Snapshot { .. } => FormatVersion::V1,
+            Message::FreshnessRequest | Message::FreshnessProof { .. } => FormatVersion(2),
         }
     }
 }
 
-/// How a source stands to a majority of those who order the log.
+/// What a source can prove about the age of the state that it holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
-    /// It is no voter, and never followed a leader in this life.
-    Unproved,
-    /// One of so many voters, and it never followed a leader in this life: where a majority says so, nothing newer
-    /// than what one of them holds can have been ordered since.
-    Started { voters: u8 },
-    /// So long ago a majority followed one leader, in this term, and what was ordered by then is held here.
-    Proved { term: Term, age: Micros },
+pub enum Freshness {
+    /// Nothing: it is no voter, and has not followed a leader in this run.
+    Unproven,
+    /// It is one of `voters` voters and has not followed a leader in this run. Once a majority says so, nothing newer than
+    /// what one of them holds can have been committed since.
+    JustStarted { voters: u8 },
+    /// `age` ago, a majority followed one leader, in `term`; what was committed by then is held here.
+    Proven { term: Term, age: Micros },
 }
 
+/// Input of `Replicator::step`.
 #[derive(Clone, Debug)]
 pub enum Event {
+    /// Time has passed; expected at `Replicator::due` at the latest.
     Tick,
     Received {
         from: NodeAddress,
         message: Message,
     },
-    /// From this node's own log; the driver has applied it already, and it comes in order, each command once.
+    /// A command of this node's own log. The driver has applied it already; each comes once and in order.
     Committed {
         index: LogIndex,
         data: Vec<u8>,
     },
-    /// The driver's state after the entry at `index`, told at once on `NeedWhole`.
-    Kept {
+    /// The driver's state after the entry at `index`, in immediate answer to `Effect::TakeSnapshot`.
+    SnapshotTaken {
         index: LogIndex,
         data: Vec<u8>,
     },
-    /// A source's own log has a state in place of all commands up to `index`: from its disk at the start, or
-    /// from a leader. What follows builds on it, and on nothing older.
+    /// The source's own log now has a snapshot in place of all commands up to `index`, from its disk at the start or from a
+    /// leader. Later commands build on that snapshot and on nothing older.
     Restored {
         index: LogIndex,
     },
-    /// Nodes that are up now; `hubs` are those that order the log.
+    /// The nodes that are up; `sources` are those that have the ordered log.
     Peers {
-        hubs: Vec<NodeAddress>,
+        sources: Vec<NodeAddress>,
         others: Vec<NodeAddress>,
     },
-    /// Those of the others whose programs keep no watch (0.6 and older): sources push to shares of them.
-    Unwatching {
-        places: Vec<NodeAddress>,
+    /// Those of the others whose program cannot watch sources (0.6 and older). Each source pushes to its assigned share of
+    /// them.
+    NonWatching {
+        addresses: Vec<NodeAddress>,
     },
-    /// Probes of several members failed at once, which tells of this node's own link: it asks what is new more often.
-    Strained {
-        strained: bool,
+    /// Whether probes of several members failed at once, which points to this node's own link. While it does, the node
+    /// sends digests more often.
+    LinkDegraded {
+        degraded: bool,
     },
-    /// How this source stands, as of now.
-    Stands {
-        standing: Standing,
+    /// The source's freshness as of now.
+    FreshnessChanged {
+        freshness: Freshness,
     },
-    /// The leader that this source follows, if that is another node which reads `Message::Prove`; told at least every
-    /// 200 ms. It is asked whether it hears this source.
-    Follows {
+    /// The leader that this source follows, if that is another node that reads `Message::FreshnessRequest`; given at least
+    /// every 200 ms. The leader is asked whether it hears this source.
+    FollowsLeader {
         leader: Option<NodeAddress>,
     },
 }
 
+/// Output of `Replicator::step`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Something that this node should have answered was not: what goes there from here on, for a while, should not be
-    /// left to datagrams.
-    Insist {
+    /// The node `to` did not answer something that it should have answered. For a while, messages to it should go by stream
+    /// rather than by datagram.
+    PreferStream {
         to: NodeAddress,
     },
     Send {
@@ -153,11 +163,11 @@
         index: LogIndex,
         data: Vec<u8>,
     },
-    /// A state that stands in for all commands up to `index`.
+    /// A whole state, which replaces all commands up to `index`.
     Restore {
         index: LogIndex,
         data: Vec<u8>,
     },
-    /// The driver is asked for its state, answered by `Kept` at once.
-    NeedWhole,
+    /// Asks the driver for its state, to be given by `Event::SnapshotTaken` at once.
+    TakeSnapshot,
 }
--- a/crates/replication/src/node/telling.rs
+++ b/crates/replication/src/node/commands.rs
@@ -6,7 +6,7 @@
     /// Somebody holds less: little is sent at once, of much it is told that it is here.
     pub(super) fn mend(&mut self, to: NodeAddress, have: LogIndex, out: &mut Vec<Effect>) {
         match self.ring.missing(have) {
-            (1.., bytes) if bytes <= SMALL_BYTES => self.send_pieces(to, have, out),
+            (1.., bytes) if bytes <= INLINE_BYTES_MAX => self.send_pieces(to, have, out),
             _ => self.tell(to, false, out),
         }
     }
@@ -27,25 +27,25 @@
     }
 
     pub(super) fn tell(&mut self, to: NodeAddress, fresh: bool, out: &mut Vec<Effect>) {
-        let message = Message::Have { index: self.index, weight: self.ring.weight(), fresh };
+        let message = Message::Digest { index: self.index, latest_bytes: self.ring.latest_bytes(), fresh };
         out.push(Effect::Send { to, message });
     }
 
     /// A piece that was new here goes on to a few others, or they hear of it. Each node passes a piece on once.
-    pub(super) fn pass_on(&mut self, from: NodeAddress, piece: &Piece, out: &mut Vec<Effect>) {
-        let big = piece.data.len() > SMALL_BYTES;
+    pub(super) fn pass_on(&mut self, from: NodeAddress, piece: &ChainedCommand, out: &mut Vec<Effect>) {
+        let big = piece.data.len() > INLINE_BYTES_MAX;
         if big && piece.prev > self.index {
             return;
         }
         let fanout = if big { PASS_ON_BIG } else { PASS_ON };
         let mut to = self.others.clone();
-        to.retain(|place| *place != from);
+        to.retain(|address| *address != from);
         shuffle(&mut self.rand, &mut to);
         for to in to.into_iter().take(fanout) {
             let message = if big {
-                Message::Have { index: piece.index, weight: piece.data.len() as u32, fresh: true }
+                Message::Digest { index: piece.index, latest_bytes: piece.data.len() as u32, fresh: true }
             } else {
-                Message::Pieces { fresh: true, more: false, pieces: vec![piece.clone()] }
+                Message::Commands { fresh: true, more: false, commands: vec![piece.clone()] }
             };
             out.push(Effect::Send { to, message });
         }
@@ -53,24 +53,27 @@
 
     /// What follows `have`: small ones together, each message small enough for a datagram unless one piece isn't.
     pub(super) fn send_pieces(&mut self, to: NodeAddress, have: LogIndex, out: &mut Vec<Effect>) {
-        let mut pieces = Vec::new();
+        let mut commands = Vec::new();
         let (mut bytes, mut all) = (0, 0);
         for piece in self.ring.after(have) {
             let more = piece.data.len() + PIECE_HEAD;
             if all > 0 && all + more > ANSWER_BYTES_MAX {
                 break;
             }
-            if !pieces.is_empty() && bytes + more > SMALL_BYTES + PIECE_HEAD {
-                let pieces = std::mem::take(&mut pieces);
-                out.push(Effect::Send { to, message: Message::Pieces { fresh: false, more: true, pieces } });
+            if !commands.is_empty() && bytes + more > INLINE_BYTES_MAX + PIECE_HEAD {
+                let commands = std::mem::take(&mut commands);
+                out.push(Effect::Send {
+                    to,
+                    message: Message::Commands { fresh: false, more: true, commands },
+                });
                 bytes = 0;
             }
             bytes += more;
             all += more;
-            pieces.push(piece.clone());
+            commands.push(piece.clone());
         }
-        if !pieces.is_empty() {
-            out.push(Effect::Send { to, message: Message::Pieces { fresh: false, more: false, pieces } });
+        if !commands.is_empty() {
+            out.push(Effect::Send { to, message: Message::Commands { fresh: false, more: false, commands } });
         }
     }
 }
--- a/crates/replication/src/node/mod.rs
+++ b/crates/replication/src/node/mod.rs
@@ -1,23 +1,24 @@
 //! One node's board: explicit states, and one function for each change of state.
 
-mod asking;
-mod source;
-mod telling;
-mod whole;
+mod commands;
+mod pulls;
+mod pushing;
+mod snapshots;
 
 use std::collections::BTreeMap;
 
 use oorandom::Rand64;
 use types::{LogIndex, MS, Micros, NodeAddress, SECOND};
 
-use crate::gap::{Gap, Gaps, Stats};
-use crate::proof::{Contact, Proofs};
+use crate::freshness::{Contact, Proofs};
+use crate::gap::{Gap, Gaps, ReplicationStats};
 use crate::pushes::{Overdue, Pushes};
-use crate::ring::{Early, Ring};
+use crate::recent::{Early, Ring};
 use crate::watch::Watches;
 use crate::watchers::Watchers;
 use crate::{
-    Effect, Event, Message, Mode, PEERS_MAX, Piece, RING_BYTES_MAX, SMALL_BYTES, Standing, WatchStats,
+    ChainedCommand, Effect, Event, Freshness, INLINE_BYTES_MAX, Message, Mode, PEERS_MAX, RECENT_BYTES_MAX,
+    WatchStats,
 };
 
 /// How many a hub tells at once of a big command, and when the next so many of those that it serves hear of it.
@@ -37,12 +38,12 @@
 /// One that was asked and has said nothing for so long gives way to another that speaks.
 const SILENT: Micros = 100 * MS;
 const TELLERS_MAX: usize = 8;
-/// The most bytes of pieces in answer to one ask; what is left is asked for again.
+/// The most bytes of commands in answer to one ask; what is left is asked for again.
 const ANSWER_BYTES_MAX: usize = 128 * 1024;
-/// Below this, pieces are sent even where a whole state may be smaller.
+/// Below this, commands are sent even where a whole state may be smaller.
 const WHOLE_ABOVE: usize = 64 * 1024;
 /// Pushed commands up to so many bytes together are sent again without an ask.
-const AGAIN_BYTES: usize = 4 * SMALL_BYTES;
+const AGAIN_BYTES: usize = 4 * INLINE_BYTES_MAX;
 /// A whole state is kept for others that ask for the same one within this time.
 const WHOLE_KEPT: Micros = 2 * SECOND;
 /// Bytes of whole states that a node sends at once, and in a millisecond after that; a larger one goes alone. Whoever
@@ -88,7 +89,7 @@
     /// The highest index heard of anywhere.
     known: LogIndex,
     /// Bytes of the command at `known`.
-    known_weight: u32,
+    known_bytes: u32,
     rand: Rand64,
     hubs: Vec<NodeAddress>,
     others: Vec<NodeAddress>,
@@ -123,7 +124,7 @@
     /// At a source: the followers that it serves.
     watchers: Watchers,
     /// At a source: how it stands, and as of when.
-    stands: (Standing, Micros),
+    stands: (Freshness, Micros),
     /// At a source: when the leader that it follows was last known to hear it.
     contact: Contact,
     gaps: Gaps,
@@ -131,7 +132,7 @@
     unacknowledged: Pushes,
     /// At a follower: the hubs that pushed a command, to be told once it is held here.
     acknowledge: BTreeMap<NodeAddress, LogIndex>,
-    strained: bool,
+    degraded: bool,
     now: Micros,
 }
 
@@ -146,7 +147,7 @@
             mode,
             index: start,
             known: start,
-            known_weight: 0,
+            known_bytes: 0,
             rand,
             hubs: Vec::new(),
             others: Vec::new(),
@@ -169,12 +170,12 @@
             proofs: Proofs::default(),
             watches: Watches::of(own),
             watchers: Watchers::default(),
-            stands: (Standing::Unproved, now),
+            stands: (Freshness::Unproven, now),
             contact: Contact::default(),
             gaps: Gaps::default(),
             unacknowledged: Pushes::default(),
             acknowledge: BTreeMap::new(),
-            strained: false,
+            degraded: false,
             now,
         }
     }
@@ -187,20 +188,20 @@
             Event::Tick => {}
             Event::Received { from, message } => self.received(from, message, &mut out),
             Event::Committed { index, data } => self.committed(index, data, &mut out),
-            Event::Kept { index, data } => self.whole_told(index, data, &mut out),
+            Event::SnapshotTaken { index, data } => self.whole_told(index, data, &mut out),
             Event::Restored { index } => self.restored(index),
-            Event::Peers { hubs, others } => self.peers(hubs, others, &mut out),
-            Event::Unwatching { places } => self.unwatching(places),
-            Event::Strained { strained } => self.strained(strained),
-            Event::Stands { standing } => self.stands = (standing, self.now),
-            Event::Follows { leader } => self.contact.follows(self.now, leader, &mut out),
+            Event::Peers { sources: hubs, others } => self.peers(hubs, others, &mut out),
+            Event::NonWatching { addresses } => self.unwatching(addresses),
+            Event::LinkDegraded { degraded } => self.degraded(degraded),
+            Event::FreshnessChanged { freshness } => self.stands = (freshness, self.now),
+            Event::FollowsLeader { leader } => self.contact.follows(self.now, leader, &mut out),
         }
         self.acknowledge(&mut out);
         self.timers(&mut out);
         self.proofs.holds(self.index);
         if self.mode == Mode::Follower {
             self.watches.holds(self.index);
-            self.gaps.see(self.now, self.index, self.known);
+            self.gaps.update(self.now, self.index, self.known);
         }
         out
     }
@@ -216,18 +217,18 @@
     }
 
     /// Whether what is held here was once known, in this life, to be as new as what a majority had ordered.
-    pub fn proved(&self) -> bool {
+    pub fn is_fresh(&self) -> bool {
         self.proofs.done()
     }
 
     /// At a source: the last moment of the own clock for which the leader that it follows, or followed, is known to have
     /// heard it since, by an answer to its ask.
-    pub fn contact(&self) -> Option<Micros> {
+    pub fn leader_contact(&self) -> Option<Micros> {
         self.contact.at()
     }
 
     /// For people who look after the system.
-    pub fn stats(&self) -> Stats {
+    pub fn stats(&self) -> ReplicationStats {
         self.gaps.stats(self.now, self.index, self.known)
     }
 
@@ -236,18 +237,18 @@
         self.watches.stats()
     }
 
-    /// At a source: the followers that asked to be served, in order. `watchers_changes` rises whenever they are others.
+    /// At a source: the followers that asked to be served, in order. `watchers_revision` rises whenever they are others.
     pub fn watchers(&self) -> impl Iterator<Item = NodeAddress> {
-        self.watchers.places()
+        self.watchers.addresses()
     }
 
-    pub fn watchers_changes(&self) -> u64 {
+    pub fn watchers_revision(&self) -> u64 {
         self.watchers.changes()
     }
 
     /// At a follower: the latest gap that has closed since this was asked last.
-    pub fn closed_gap(&mut self) -> Option<Gap> {
-        self.gaps.closed()
+    pub fn take_closed_gap(&mut self) -> Option<Gap> {
+        self.gaps.take_closed()
     }
 
     /// All commands up to here are applied (or, at a source, committed).
@@ -261,10 +262,10 @@
         }
         if self.chain.1 > 0 && self.now >= self.chain.0 {
             self.chain.1 = 0;
-            self.ring.trim(RING_BYTES_MAX);
+            self.ring.trim(RECENT_BYTES_MAX);
         }
         if self.asked.as_ref().is_some_and(|asked| self.now >= asked.until) {
-            self.gaps.unanswered += 1;
+            self.gaps.pulls_unanswered += 1;
             self.ask_another(out);
         }
         if self.now >= self.tell_later.0 {
@@ -287,7 +288,7 @@
     /// Tells what is held: a follower to a hub, each in its turn, and to another follower by chance, one after the other
     /// when it is calm and both at once after news; a hub to a follower by chance.
     fn digest(&mut self, out: &mut Vec<Effect>) {
-        let calm = self.now - self.changed > CALM_AFTER && self.index >= self.known && !self.strained;
+        let calm = self.now - self.changed > CALM_AFTER && self.index >= self.known && !self.degraded;
         self.next_digest = self.now + if calm { DIGEST_CALM } else { DIGEST_SOON };
         self.digest_hub = !self.digest_hub;
         let (hub, other) = match self.mode {
@@ -301,11 +302,11 @@
         }
     }
 
-    fn strained(&mut self, strained: bool) {
-        if strained && !self.strained {
+    fn degraded(&mut self, degraded: bool) {
+        if degraded && !self.degraded {
             self.next_digest = self.next_digest.min(self.now + DIGEST_SOON);
         }
-        self.strained = strained;
+        self.degraded = degraded;
     }
 
     /// Tells hubs that what they pushed is held here.
@@ -337,25 +338,26 @@
 
     fn peers(&mut self, hubs: Vec<NodeAddress>, others: Vec<NodeAddress>, out: &mut Vec<Effect>) {
         let own = self.own;
-        let sorted = |places: Vec<NodeAddress>| {
-            let mut places: Vec<NodeAddress> = places.into_iter().filter(|place| *place != own).collect();
-            places.sort_unstable();
-            places.dedup();
-            places.truncate(PEERS_MAX);
-            places
+        let sorted = |addresses: Vec<NodeAddress>| {
+            let mut addresses: Vec<NodeAddress> =
+                addresses.into_iter().filter(|address| *address != own).collect();
+            addresses.sort_unstable();
+            addresses.dedup();
+            addresses.truncate(PEERS_MAX);
+            addresses
         };
         let (hubs, others) = (sorted(hubs), sorted(others));
         let new: Vec<NodeAddress> = hubs.iter().copied().filter(|hub| !self.hubs.contains(hub)).collect();
         (self.hubs, self.others) = (hubs, others);
         let (watchers, others) = (&self.watchers, &self.others);
-        self.unacknowledged.keep(|place| watchers.has(place) || others.binary_search(&place).is_ok());
+        self.unacknowledged.keep(|address| watchers.has(address) || others.binary_search(&address).is_ok());
         let (watches, hubs) = (&self.watches, &self.hubs);
         self.acknowledge.retain(|hub, _| hubs.contains(hub) || watches.has(*hub));
         self.watches.sources_changed();
         self.turn.retain(|hub| self.hubs.contains(hub));
         self.turn.extend(&new);
         shuffle(&mut self.rand, &mut self.turn);
-        self.tellers.retain(|(place, _)| self.hubs.contains(place) || self.others.contains(place));
+        self.tellers.retain(|(address, _)| self.hubs.contains(address) || self.others.contains(address));
         if let Some(asked) = &mut self.asked
             && !self.hubs.contains(&asked.from)
             && !self.others.contains(&asked.from)
@@ -371,11 +373,11 @@
         }
     }
 
-    fn unwatching(&mut self, mut places: Vec<NodeAddress>) {
-        places.sort_unstable();
-        places.dedup();
-        places.truncate(PEERS_MAX);
-        self.unwatching = places;
+    fn unwatching(&mut self, mut addresses: Vec<NodeAddress>) {
+        addresses.sort_unstable();
+        addresses.dedup();
+        addresses.truncate(PEERS_MAX);
+        self.unwatching = addresses;
     }
 
     fn received(&mut self, from: NodeAddress, message: Message, out: &mut Vec<Effect>) {
@@ -383,23 +385,25 @@
             return;
         }
         match message {
-            Message::Pieces { fresh, more, pieces } => self.pieces(from, fresh, more, pieces, out),
-            Message::Have { index, weight, fresh } => self.have(from, index, weight, fresh, out),
-            Message::Want { have } => self.want(from, have, out),
-            Message::Whole { index, data } => self.whole(from, index, data, out),
-            Message::Prove => self.tell_standing(from, out),
-            Message::Proof { index, standing } => self.proof(from, index, standing, out),
+            Message::Commands { fresh, more, commands } => self.commands(from, fresh, more, commands, out),
+            Message::Digest { index, latest_bytes, fresh } => {
+                self.have(from, index, latest_bytes, fresh, out)
+            }
+            Message::Pull { held: have } => self.want(from, have, out),
+            Message::Snapshot { index, data } => self.whole(from, index, data, out),
+            Message::FreshnessRequest => self.tell_standing(from, out),
+            Message::FreshnessProof { index, freshness } => self.proof(from, index, freshness, out),
         }
     }
 
     /// A source that holds more than is here is asked for it at once by one that has just started, as if it had told by a
     /// digest. Later it is expected to push it.
-    fn proof(&mut self, from: NodeAddress, index: LogIndex, standing: Standing, out: &mut Vec<Effect>) {
+    fn proof(&mut self, from: NodeAddress, index: LogIndex, freshness: Freshness, out: &mut Vec<Effect>) {
         if self.mode == Mode::Source {
             self.contact.answered(from);
         } else {
-            self.proofs.answered(self.now, from, index, standing);
-            self.watches.answered(self.now, from, index, standing);
+            self.proofs.answered(self.now, from, index, freshness);
+            self.watches.answered(self.now, from, index, freshness);
             if index > self.index && self.proofs.done() {
                 self.watches.misses(self.now, from, index);
             } else if index > self.index {
@@ -408,19 +412,20 @@
         }
     }
 
-    fn pieces(
-        &mut self, from: NodeAddress, fresh: bool, more: bool, pieces: Vec<Piece>, out: &mut Vec<Effect>,
+    fn commands(
+        &mut self, from: NodeAddress, fresh: bool, more: bool, commands: Vec<ChainedCommand>,
+        out: &mut Vec<Effect>,
     ) {
         if self.mode == Mode::Source {
             return;
         }
         let before = self.index;
-        if fresh && let Some(last) = pieces.last() {
+        if fresh && let Some(last) = commands.last() {
             self.pushed_by(from, last.index);
         }
         let answer = self.asked.as_ref().is_some_and(|asked| asked.from == from);
         let fresh = fresh || (answer && self.asked.as_ref().is_some_and(|asked| asked.fresh));
-        for piece in pieces {
+        for piece in commands {
             if piece.index <= self.index || piece.prev >= piece.index || self.early.has(piece.index) {
                 continue;
             }
@@ -438,10 +443,10 @@
         self.go_on(from, more, self.index > before, out);
     }
 
-    fn apply(&mut self, piece: Piece, out: &mut Vec<Effect>) {
+    fn apply(&mut self, piece: ChainedCommand, out: &mut Vec<Effect>) {
         self.advance(piece.index, piece.data.len() as u32);
         out.push(Effect::Apply { index: piece.index, data: piece.data.clone() });
-        self.ring.push(piece, RING_BYTES_MAX + self.chain.1);
+        self.ring.push(piece, RECENT_BYTES_MAX + self.chain.1);
     }
 
     fn apply_early(&mut self, out: &mut Vec<Effect>) {
@@ -450,24 +455,24 @@
         }
     }
 
-    /// The only place where `index` moves, and it only rises.
-    fn advance(&mut self, index: LogIndex, weight: u32) {
+    /// The only address where `index` moves, and it only rises.
+    fn advance(&mut self, index: LogIndex, latest_bytes: u32) {
         debug_assert!(index > self.index);
         self.index = index;
         if index > self.known {
-            (self.known, self.known_weight) = (index, weight);
+            (self.known, self.known_bytes) = (index, latest_bytes);
         }
         self.changed = self.now;
         self.next_digest = self.next_digest.min(self.now + DIGEST_SOON);
         self.kept = None;
     }
 
-    fn heard_of(&mut self, from: NodeAddress, index: LogIndex, weight: u32) {
+    fn heard_of(&mut self, from: NodeAddress, index: LogIndex, latest_bytes: u32) {
         if index > self.known {
-            (self.known, self.known_weight) = (index, weight);
+            (self.known, self.known_bytes) = (index, latest_bytes);
         }
         if index > self.index {
-            self.tellers.retain(|(place, _)| *place != from);
+            self.tellers.retain(|(address, _)| *address != from);
             if self.tellers.len() >= TELLERS_MAX {
                 self.tellers.remove(0);
             }
@@ -475,8 +480,10 @@
         }
     }
 
-    fn have(&mut self, from: NodeAddress, index: LogIndex, weight: u32, fresh: bool, out: &mut Vec<Effect>) {
-        self.heard_of(from, index, weight);
+    fn have(
+        &mut self, from: NodeAddress, index: LogIndex, latest_bytes: u32, fresh: bool, out: &mut Vec<Effect>,
+    ) {
+        self.heard_of(from, index, latest_bytes);
         self.unacknowledged.holds(from, index);
         if fresh {
             self.pushed_by(from, index);
@@ -485,7 +492,7 @@
             if self.mode == Mode::Follower && (self.asked.is_none() || self.asked_in_vain(from)) {
                 self.ask(from, 0, fresh, out);
             } else {
-                self.told_while_asking(from, weight);
+                self.told_while_asking(from, latest_bytes);
             }
             return;
         }
@@ -501,12 +508,12 @@
 /// The most that a piece takes on the wire beside its data.
 const PIECE_HEAD: usize = 24;
 
-fn pick(rand: &mut Rand64, places: &[NodeAddress]) -> Option<NodeAddress> {
-    (!places.is_empty()).then(|| places[rand.rand_range(0..places.len() as u64) as usize])
+fn pick(rand: &mut Rand64, addresses: &[NodeAddress]) -> Option<NodeAddress> {
+    (!addresses.is_empty()).then(|| addresses[rand.rand_range(0..addresses.len() as u64) as usize])
 }
 
-fn shuffle(rand: &mut Rand64, places: &mut [NodeAddress]) {
-    for last in (1..places.len()).rev() {
-        places.swap(last, rand.rand_range(0..last as u64 + 1) as usize);
+fn shuffle(rand: &mut Rand64, addresses: &mut [NodeAddress]) {
+    for last in (1..addresses.len()).rev() {
+        addresses.swap(last, rand.rand_range(0..last as u64 + 1) as usize);
     }
 }
--- a/crates/replication/src/node/asking.rs
+++ b/crates/replication/src/node/pulls.rs
@@ -6,17 +6,19 @@
     /// Whether one that tells of news now is rather to be asked than the one that has been asked and has said nothing: a
     /// word of it has just come through. Where much is missing it is waited for, as a second copy would slow down the first.
     pub(super) fn asked_in_vain(&self, teller: NodeAddress) -> bool {
-        let little = self.known_weight as usize <= SMALL_BYTES;
+        let little = self.known_bytes as usize <= INLINE_BYTES_MAX;
         let silent = |asked: &Asked| asked.from != teller && asked.told == 0 && self.now - asked.at >= SILENT;
         little && self.asked.as_ref().is_some_and(silent)
     }
 
     /// Whoever is asked tells first how much is on its way: it is waited for so long. Guards against asking for a
     /// second copy of a state while a slow link still carries the first, which makes the link slower still.
-    pub(super) fn told_while_asking(&mut self, from: NodeAddress, weight: u32) {
-        let until = self.now + self.wait(0).max(ASK_BASE + Micros::from(weight) * ASK_BYTE);
-        if let Some(asked) = self.asked.as_mut().filter(|asked| asked.from == from && asked.told < weight) {
-            (asked.told, asked.until) = (weight, asked.until.max(until));
+    pub(super) fn told_while_asking(&mut self, from: NodeAddress, latest_bytes: u32) {
+        let until = self.now + self.wait(0).max(ASK_BASE + Micros::from(latest_bytes) * ASK_BYTE);
+        if let Some(asked) =
+            self.asked.as_mut().filter(|asked| asked.from == from && asked.told < latest_bytes)
+        {
+            (asked.told, asked.until) = (latest_bytes, asked.until.max(until));
         }
     }
 
@@ -25,7 +27,7 @@
         if let Some(source) = self.watches.overdue(self.now)
             && self.asked.is_none()
         {
-            out.push(Effect::Insist { to: source });
+            out.push(Effect::PreferStream { to: source });
             self.ask(source, 0, false, out);
         }
     }
@@ -51,14 +53,14 @@
 
     pub(super) fn wait(&self, tries: u32) -> Micros {
         let base = if self.ring.is_empty() { 2 * ASK_BASE } else { ASK_BASE };
-        base * Micros::from(1 + tries) + Micros::from(self.known_weight) * ASK_BYTE
+        base * Micros::from(1 + tries) + Micros::from(self.known_bytes) * ASK_BYTE
     }
 
     pub(super) fn ask(&mut self, from: NodeAddress, tries: u32, fresh: bool, out: &mut Vec<Effect>) {
         let until = self.now + self.wait(tries);
         self.asked = Some(Asked { from, at: self.now, until, tries, fresh, told: 0 });
-        self.gaps.asks += 1;
-        out.push(Effect::Send { to: from, message: Message::Want { have: self.index } });
+        self.gaps.pulls += 1;
+        out.push(Effect::Send { to: from, message: Message::Pull { held: self.index } });
     }
 
     /// Whoever was asked holds no more than is held here.
@@ -77,11 +79,11 @@
         if self.index >= self.known && asked.tries >= ASK_TRIES_MAX {
             return;
         }
-        self.tellers.retain(|(place, index)| *place != asked.from && *index > self.index);
-        let other = self.tellers.pop().map(|(place, _)| place);
+        self.tellers.retain(|(address, index)| *address != asked.from && *index > self.index);
+        let other = self.tellers.pop().map(|(address, _)| address);
         let other = other.or_else(|| pick(&mut self.rand, &self.hubs));
         if let Some(other) = other.or_else(|| pick(&mut self.rand, &self.others)) {
-            out.push(Effect::Insist { to: other });
+            out.push(Effect::PreferStream { to: other });
             self.ask(other, (asked.tries + 1).min(ASK_TRIES_MAX), asked.fresh, out);
         }
     }
--- a/crates/replication/src/node/whole.rs
+++ b/crates/replication/src/node/snapshots.rs
@@ -1,4 +1,4 @@
-//! Whole states, where pieces are missing or would be more: sent at a pace, kept for others, taken over.
+//! Whole states, where commands are missing or would be more: sent at a pace, kept for others, taken over.
 
 use super::*;
 
@@ -23,11 +23,11 @@
         if !self.may_send(data.len()) {
             return;
         }
-        let weight = u32::try_from(data.len()).unwrap_or(u32::MAX);
-        let until = self.now + CHAIN_KEPT + Micros::from(weight) * ASK_BYTE;
+        let latest_bytes = u32::try_from(data.len()).unwrap_or(u32::MAX);
+        let until = self.now + CHAIN_KEPT + Micros::from(latest_bytes) * ASK_BYTE;
         self.chain = (self.chain.0.max(until), data.len().min(CHAIN_BYTES_MAX));
-        out.push(Effect::Send { to, message: Message::Have { index, weight, fresh: false } });
-        out.push(Effect::Send { to, message: Message::Whole { index, data: data.to_vec() } });
+        out.push(Effect::Send { to, message: Message::Digest { index, latest_bytes, fresh: false } });
+        out.push(Effect::Send { to, message: Message::Snapshot { index, data: data.to_vec() } });
     }
 
     pub(super) fn need_whole(&mut self, from: NodeAddress, out: &mut Vec<Effect>) {
@@ -37,7 +37,7 @@
             return;
         }
         if self.wanting.is_empty() {
-            out.push(Effect::NeedWhole);
+            out.push(Effect::TakeSnapshot);
         }
         if self.wanting.len() < WANTING_MAX && !self.wanting.contains(&from) {
             self.wanting.push(from);
--- a/crates/replication/src/pushes.rs
+++ b/crates/replication/src/pushes.rs
@@ -26,7 +26,7 @@
 /// A follower that has not acknowledged in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Overdue {
-    pub place: NodeAddress,
+    pub address: NodeAddress,
     pub holds: LogIndex,
     /// Datagrams were lost more than once.
     pub insist: bool,
@@ -48,30 +48,30 @@
     }
 
     /// A follower has shown that it holds all up to `index`.
-    pub fn holds(&mut self, place: NodeAddress, index: LogIndex) {
-        let Some(waiting) = self.0.get_mut(&place) else { return };
+    pub fn holds(&mut self, address: NodeAddress, index: LogIndex) {
+        let Some(waiting) = self.0.get_mut(&address) else { return };
         waiting.holds = waiting.holds.max(index);
         if waiting.index <= index {
-            self.0.remove(&place);
+            self.0.remove(&address);
         }
     }
 
     /// Others are not waited for any more.
     pub fn keep(&mut self, served: impl Fn(NodeAddress) -> bool) {
-        self.0.retain(|place, _| served(*place));
+        self.0.retain(|address, _| served(*address));
     }
 
     /// Those that are to be told again now.
     pub fn overdue(&mut self, now: Micros) -> Vec<Overdue> {
         let mut overdue = Vec::new();
-        self.0.retain(|place, waiting| {
+        self.0.retain(|address, waiting| {
             if now < waiting.until {
                 return true;
             }
             waiting.told_again += 1;
             let insist = waiting.told_again > BY_DATAGRAM;
             waiting.until = now + if insist { AGAIN } else { ACKNOWLEDGED };
-            overdue.push(Overdue { place: *place, holds: waiting.holds, insist });
+            overdue.push(Overdue { address: *address, holds: waiting.holds, insist });
             waiting.told_again < TIMES
         });
         overdue
--- a/crates/replication/src/ring.rs
+++ b/crates/replication/src/recent.rs
@@ -4,7 +4,7 @@
 
 use types::LogIndex;
 
-use crate::Piece;
+use crate::ChainedCommand;
 
 const RING_PIECES_MAX: usize = 4_096;
 const EARLY_PIECES_MAX: usize = 256;
@@ -13,21 +13,21 @@
 /// The latest commands held here, in order, without gaps.
 #[derive(Debug, Default)]
 pub(crate) struct Ring {
-    pieces: VecDeque<Piece>,
+    commands: VecDeque<ChainedCommand>,
     bytes: usize,
 }
 
 impl Ring {
     /// `most`: bytes that are kept.
-    pub fn push(&mut self, piece: Piece, most: usize) {
+    pub fn push(&mut self, piece: ChainedCommand, most: usize) {
         self.bytes += piece.data.len();
-        self.pieces.push_back(piece);
+        self.commands.push_back(piece);
         self.trim(most);
     }
 
     pub fn trim(&mut self, most: usize) {
-        while self.pieces.len() > RING_PIECES_MAX || self.bytes > most {
-            let Some(oldest) = self.pieces.pop_front() else { return };
+        while self.commands.len() > RING_PIECES_MAX || self.bytes > most {
+            let Some(oldest) = self.commands.pop_front() else { return };
             self.bytes -= oldest.data.len();
         }
     }
@@ -37,24 +37,24 @@
     }
 
     pub fn is_empty(&self) -> bool {
-        self.pieces.is_empty()
+        self.commands.is_empty()
     }
 
     /// Bytes of the latest command.
-    pub fn weight(&self) -> u32 {
-        self.pieces.back().map_or(0, |piece| piece.data.len() as u32)
+    pub fn latest_bytes(&self) -> u32 {
+        self.commands.back().map_or(0, |piece| piece.data.len() as u32)
     }
 
     /// What the latest command follows.
     pub fn before_last(&self) -> LogIndex {
-        self.pieces.back().map_or(LogIndex(0), |piece| piece.prev)
+        self.commands.back().map_or(LogIndex(0), |piece| piece.prev)
     }
 
     /// What follows `have`; nothing where the chain from there is not held any more.
-    pub fn after(&self, have: LogIndex) -> impl Iterator<Item = &Piece> {
-        let first = self.pieces.partition_point(|piece| piece.index <= have);
-        let whole = self.pieces.get(first).is_some_and(|piece| piece.prev <= have);
-        self.pieces.range(if whole { first } else { self.pieces.len() }..)
+    pub fn after(&self, have: LogIndex) -> impl Iterator<Item = &ChainedCommand> {
+        let first = self.commands.partition_point(|piece| piece.index <= have);
+        let whole = self.commands.get(first).is_some_and(|piece| piece.prev <= have);
+        self.commands.range(if whole { first } else { self.commands.len() }..)
     }
 
     /// Count and bytes of what follows `have`.
@@ -66,32 +66,32 @@
 /// Pieces that came before those they build on.
 #[derive(Debug, Default)]
 pub(crate) struct Early {
-    pieces: BTreeMap<LogIndex, Piece>,
+    commands: BTreeMap<LogIndex, ChainedCommand>,
     bytes: usize,
 }
 
 impl Early {
     pub fn has(&self, index: LogIndex) -> bool {
-        self.pieces.contains_key(&index)
+        self.commands.contains_key(&index)
     }
 
     /// Keeps a piece for later; the farthest ahead makes room.
-    pub fn keep(&mut self, piece: Piece) {
+    pub fn keep(&mut self, piece: ChainedCommand) {
         if self.has(piece.index) {
             return;
         }
         self.bytes += piece.data.len();
-        self.pieces.insert(piece.index, piece);
-        while self.pieces.len() > EARLY_PIECES_MAX || self.bytes > EARLY_BYTES_MAX {
-            let Some((_, farthest)) = self.pieces.pop_last() else { return };
+        self.commands.insert(piece.index, piece);
+        while self.commands.len() > EARLY_PIECES_MAX || self.bytes > EARLY_BYTES_MAX {
+            let Some((_, farthest)) = self.commands.pop_last() else { return };
             self.bytes -= farthest.data.len();
         }
     }
 
     /// The piece that fits after `have`, if it is here; older ones are dropped.
-    pub fn next(&mut self, have: LogIndex) -> Option<Piece> {
+    pub fn next(&mut self, have: LogIndex) -> Option<ChainedCommand> {
         loop {
-            let first = self.pieces.first_entry()?;
+            let first = self.commands.first_entry()?;
             if first.get().index > have && first.get().prev > have {
                 return None;
             }
--- a/crates/replication/src/watch.rs
+++ b/crates/replication/src/watch.rs
@@ -11,7 +11,7 @@
 
 use types::{LogIndex, MS, Micros, NodeAddress, SECOND};
 
-use crate::{Effect, Message, Standing};
+use crate::{Effect, Freshness, Message};
 
 /// Sources that are watched at once: with one, each failure of it would be a wait.
 const SOURCES: usize = 2;
@@ -82,10 +82,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WatchStats {
     /// Sources that were left as they were silent, or as their news got old, since the start.
-    pub left_silent: u64,
-    pub left_old: u64,
+    pub dropped_silent: u64,
+    pub dropped_stale: u64,
     /// Since when what is held here may not be the newest, by the own clock; none before the first proof.
-    pub current_as_of: Option<Micros>,
+    pub up_to_date_at: Option<Micros>,
 }
 
 /// The sources that one follower watches.
@@ -136,11 +136,11 @@
     }
 
     /// A source has told how old its news is, and up to where they go.
-    pub fn answered(&mut self, now: Micros, from: NodeAddress, index: LogIndex, standing: Standing) {
+    pub fn answered(&mut self, now: Micros, from: NodeAddress, index: LogIndex, freshness: Freshness) {
         let Some(watch) = self.watches.iter_mut().find(|watch| watch.source == from) else { return };
         watch.heard = Some(now);
         watch.insisted = false;
-        let Standing::Proved { age, .. } = standing else { return };
+        let Freshness::Proven { age, .. } = freshness else { return };
         let as_of = now - age.max(0);
         watch.as_of = watch.as_of.max(Some(as_of));
         if now - as_of <= OLD {
@@ -167,7 +167,7 @@
     pub fn holds(&mut self, index: LogIndex) {
         self.missing.take_if(|missing| missing.index <= index);
         if let Some((_, as_of)) = self.pending.take_if(|(needs, _)| *needs <= index) {
-            self.stats.current_as_of = self.stats.current_as_of.max(Some(as_of));
+            self.stats.up_to_date_at = self.stats.up_to_date_at.max(Some(as_of));
         }
     }
 
@@ -181,11 +181,11 @@
         for watch in &mut self.watches {
             if !watch.insisted && watch.silent_for(now) >= INSIST_AFTER {
                 watch.insisted = true;
-                out.push(Effect::Insist { to: watch.source });
+                out.push(Effect::PreferStream { to: watch.source });
             }
             if now >= watch.next_ask() {
                 watch.asked = Some(now);
-                out.push(Effect::Send { to: watch.source, message: Message::Prove });
+                out.push(Effect::Send { to: watch.source, message: Message::FreshnessRequest });
             }
         }
         self.next = self.watches.iter().map(Watch::next_ask).min().unwrap_or(Micros::MAX);
@@ -206,12 +206,12 @@
             if silent || old {
                 left.insert(watch.source, now);
                 *in_a_row += 1;
-                stats.left_silent += u64::from(silent);
-                stats.left_old += u64::from(!silent);
+                stats.dropped_silent += u64::from(silent);
+                stats.dropped_stale += u64::from(!silent);
             }
             !(silent || old)
         });
-        self.stats.left_silent > before.left_silent
+        self.stats.dropped_silent > before.dropped_silent
     }
 
     /// Adds those that are wanted and not watched; those that are watched and not wanted go once the others serve.
@@ -220,7 +220,7 @@
         for source in &wanted {
             if !self.has(*source) && self.watches.len() < SOURCES_MAX {
                 self.watches.push(Watch::at(*source, now));
-                out.extend(by_stream.then_some(Effect::Insist { to: *source }));
+                out.extend(by_stream.then_some(Effect::PreferStream { to: *source }));
             }
         }
         let serves = |source: &NodeAddress| {
--- a/crates/replication/src/watchers.rs
+++ b/crates/replication/src/watchers.rs
@@ -45,7 +45,7 @@
         self.until.contains_key(&follower)
     }
 
-    pub fn places(&self) -> impl Iterator<Item = NodeAddress> {
+    pub fn addresses(&self) -> impl Iterator<Item = NodeAddress> {
         self.until.keys().copied()
     }
 
--- a/crates/understudy/src/targets/disk.rs
+++ b/crates/understudy/src/targets/disk.rs
@@ -6,7 +6,7 @@
 
 use consensus::{Entry, Members, Promptbook, Snapshot, What, Write, WriteNo};
 use control_state::{Command, Script};
-use membership::{Member, Part};
+use membership::{Member, Role};
 use playhouse::house::House;
 use playhouse::settings::Spans;
 use redb::StorageBackend;
@@ -407,12 +407,12 @@
 
 fn house(seed: u64) -> House {
     let own = Member {
-        place: NodeAddress([10, 0, 0, 1].into()),
-        life: RunId(1),
-        part: Part::Prompter,
+        address: NodeAddress([10, 0, 0, 1].into()),
+        run_id: RunId(1),
+        role: Role::ControlNode,
         zone: "z".into(),
         name: "n".into(),
-        edition: types::NodeVersion::CURRENT,
+        version: types::NodeVersion::CURRENT,
     };
     House::start(own, vec![NodeAddress([10, 0, 0, 2].into())], 1_500_000, seed, 0)
 }
--- a/crates/understudy/src/targets/words.rs
+++ b/crates/understudy/src/targets/words.rs
@@ -4,7 +4,7 @@
 
 use consensus::{Members, Saved};
 use control_state::{Command, Tally, Voice, Vote};
-use membership::{Member, Part};
+use membership::{Member, Role};
 use playhouse::control::{Control, In, Out};
 use playhouse::house::{House, Letter, Word, opened};
 use playhouse::settings::Spans;
@@ -38,14 +38,14 @@
 
 fn member(number: u8) -> Member {
     // Prompters first.
-    let part = if number <= 3 { Part::Prompter } else { Part::Foyer };
+    let part = if number <= 3 { Role::ControlNode } else { Role::Gateway };
     Member {
-        place: place(number),
-        life: RunId(number.into()),
-        part,
+        address: place(number),
+        run_id: RunId(number.into()),
+        role: part,
         zone: "z".into(),
         name: format!("n{number}"),
-        edition: NodeVersion::CURRENT,
+        version: NodeVersion::CURRENT,
     }
 }
 
@@ -228,7 +228,7 @@
 /// Which message of its room a word is.
 fn inner(word: &Word) -> u64 {
     match word {
-        Word::Company(message) => variant(&message.talk),
+        Word::Company(message) => variant(&message.body),
         Word::Board(message) => variant(message),
         Word::Cast(message) => variant(message),
         Word::Book { message: consensus::Message::Said { word, .. }, .. } => 16 + variant(word),
@@ -337,7 +337,7 @@
             drop(control.step(now + later, In::Tick));
             foyer.tick(now + later);
         }
-        signature.bucket("members", foyer.company.up(Part::Foyer).count() as u64);
+        signature.bucket("members", foyer.company.up(Role::Gateway).count() as u64);
         signature.bucket("instances", foyer.cast.records().count() as u64);
         signature.mark("unreadable", u64::from(foyer.unreadable().is_some()));
         signature.bucket("term", control.book().term().0);
