--- a/crates/budgets/src/party.rs
+++ b/crates/budgets/src/gateway_counts.rs
@@ -10,16 +10,16 @@
 
 /// The number of foyers over time.
 #[derive(Debug, Default)]
-pub struct Party {
+pub struct GatewayCounts {
     now: usize,
     /// Earlier numbers, each with the moment at which it ended. Falling: a smaller one before a larger one
     /// never counts.
     earlier: Vec<(Micros, usize)>,
 }
 
-impl Party {
+impl GatewayCounts {
     /// How many are known at `now`, this one counted.
-    pub fn note(&mut self, now: Micros, count: usize) {
+    pub fn record(&mut self, now: Micros, count: usize) {
         let count = count.max(1);
         if count == self.now {
             return;
@@ -36,15 +36,15 @@
     }
 
     /// The most that were known at one time in the last ten minutes.
-    pub fn most(&self, now: Micros) -> usize {
+    pub fn peak(&self, now: Micros) -> usize {
         let earlier = self.earlier.iter().filter(|(ended, _)| now - ended < KEPT);
         earlier.map(|(_, most)| *most).max().unwrap_or(0).max(self.now).max(1)
     }
 
     /// One foyer's part of what is for all: one more than are known share, and an eighth more, for machines that
     /// were added and are not known to all.
-    pub fn part(&self, now: Micros, whole: f64) -> f64 {
-        let most = self.most(now);
+    pub fn share_of(&self, now: Micros, whole: f64) -> f64 {
+        let most = self.peak(now);
         whole / (most + 1 + most / 8) as f64
     }
 }
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,14 +1,14 @@
-//! Purse (shared budgets): each foyer's part of what all foyers together may spend: further tries to a service
+//! RetryBudget (shared budgets): each foyer's part of what all foyers together may spend: further tries to a service
 //! in every sliding window, and a part of any other whole. No I/O, and no messages: the parts are such that
 //! their sum holds whoever is cut off, dies, starts or gets the traffic; `docs/purse.md` has the argument.
 
-mod party;
+mod gateway_counts;
 mod window;
 
 use indexmap::IndexMap;
 use types::{Micros, SECOND};
 
-pub use party::Party;
+pub use gateway_counts::GatewayCounts;
 use window::Window;
 
 /// Most services with an account; for others nothing may be spent.
@@ -19,34 +19,41 @@
 
 /// Further tries of one foyer, per service.
 #[derive(Debug)]
-pub struct Purse {
+pub struct RetryBudget {
     ratio: f64,
     slack: f64,
     span: Micros,
     /// Since when this life runs: known by its first event.
     born: Option<Micros>,
-    party: Party,
+    party: GatewayCounts,
     accounts: IndexMap<String, Window>,
 }
 
-impl Purse {
+impl RetryBudget {
     /// `ratio` of the requests and `slack` are for all foyers together, in any `window` (microseconds).
-    pub fn new(ratio: f64, slack: f64, window: Micros) -> Purse {
+    pub fn new(ratio: f64, slack: f64, window: Micros) -> RetryBudget {
         let span = window.max(SECOND / 10);
         let (ratio, slack) = (sound(ratio), sound(slack));
-        Purse { ratio, slack, span, born: None, party: Party::default(), accounts: IndexMap::new() }
+        RetryBudget {
+            ratio,
+            slack,
+            span,
+            born: None,
+            party: GatewayCounts::default(),
+            accounts: IndexMap::new(),
+        }
     }
 
     /// How many foyers are known now, this one counted. To be told whenever it changes; telling it again is
     /// harmless. `may` tells it too.
-    pub fn foyers(&mut self, now: Micros, count: usize) {
+    pub fn set_gateway_count(&mut self, now: Micros, count: usize) {
         self.born.get_or_insert(now);
-        self.party.note(now, count);
+        self.party.record(now, count);
     }
 
     /// A request that a client sent for `service`, at its first choice of an instance, sent on or not. Further
     /// tries are none.
-    pub fn request(&mut self, now: Micros, service: &str) {
+    pub fn record_request(&mut self, now: Micros, service: &str) {
         if let Some(account) = self.account(now, service) {
             account.request(now);
         }
@@ -54,21 +61,21 @@
 
     /// Whether one more further try may be sent now, while `foyers` are known, this one counted. Asking spends
     /// nothing: `spent` does.
-    pub fn may(&mut self, now: Micros, service: &str, foyers: usize) -> bool {
-        self.foyers(now, foyers);
-        self.may_known(now, service)
+    pub fn may_retry(&mut self, now: Micros, service: &str, foyers: usize) -> bool {
+        self.set_gateway_count(now, foyers);
+        self.may_retry_now(now, service)
     }
 
     /// The same, with as many foyers as were told last.
-    pub fn may_known(&mut self, now: Micros, service: &str) -> bool {
+    pub fn may_retry_now(&mut self, now: Micros, service: &str) -> bool {
         let settled = self.born.is_some_and(|born| now - born >= self.span + SETTLING);
-        let slack = if settled { self.party.part(now, self.slack) } else { 0.0 };
+        let slack = if settled { self.party.share_of(now, self.slack) } else { 0.0 };
         let ratio = self.ratio;
         self.account(now, service).is_some_and(|account| account.room(now, ratio, slack))
     }
 
     /// A further try was sent, wherever it came to.
-    pub fn spent(&mut self, now: Micros, service: &str) {
+    pub fn record_retry(&mut self, now: Micros, service: &str) {
         if let Some(account) = self.account(now, service) {
             account.spent(now);
         }
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -41,7 +41,7 @@
     let version = change.remove("ConfigVersion").ok().flatten().unwrap_or_else(|| json!(null));
     for (name, value) in [("ConfigVersion", version), ("ResourceSet", OwnedValue::from(entries))] {
         if base.insert(name.to_owned(), value).is_err() {
-            return Err(Faults::one("", "an object"));
+            return Err(Faults::single("", "an object"));
         }
     }
     Ok(base)
--- a/crates/configuration/src/faults.rs
+++ b/crates/configuration/src/faults.rs
@@ -19,12 +19,12 @@
 pub struct Faults {
     pub list: Vec<Fault>,
     /// Found beyond those listed.
-    pub more: usize,
+    pub omitted: usize,
 }
 
 impl Faults {
-    pub fn one(place: impl Into<String>, expected: impl Into<String>) -> Faults {
-        Faults { list: vec![Fault { place: place.into(), expected: expected.into() }], more: 0 }
+    pub fn single(place: impl Into<String>, expected: impl Into<String>) -> Faults {
+        Faults { list: vec![Fault { place: place.into(), expected: expected.into() }], omitted: 0 }
     }
 
     /// Place and expectation are written out only where the fault is listed.
@@ -32,7 +32,7 @@
         if self.list.len() < MAX_FAULTS {
             self.list.push(Fault { place: place.to_string(), expected: expected.to_string() });
         } else {
-            self.more += 1;
+            self.omitted += 1;
         }
     }
 
@@ -50,7 +50,7 @@
             crate::json::write_string(&mut out, &fault.expected);
             out.push(b'}');
         }
-        out.extend_from_slice(format!("],\"More\":{}}}", self.more).as_bytes());
+        out.extend_from_slice(format!("],\"More\":{}}}", self.omitted).as_bytes());
         out
     }
 }
@@ -64,8 +64,8 @@
             let place = if fault.place.is_empty() { "text" } else { fault.place.as_str() };
             write!(f, "{place}: {}", fault.expected)?;
         }
-        if self.more > 0 {
-            write!(f, "; and {} more", self.more)?;
+        if self.omitted > 0 {
+            write!(f, "; and {} more", self.omitted)?;
         }
         Ok(())
     }
--- a/crates/configuration/src/json.rs
+++ b/crates/configuration/src/json.rs
@@ -10,17 +10,17 @@
 /// Guards the stack and the memory: values are built and dropped by recursion.
 pub fn parse(text: &[u8]) -> Result<OwnedValue, Faults> {
     if text.len() > MAX_BYTES {
-        return Err(Faults::one("", format!("at most {MAX_BYTES} bytes; there are {}", text.len())));
+        return Err(Faults::single("", format!("at most {MAX_BYTES} bytes; there are {}", text.len())));
     }
-    if too_deep(text) {
-        return Err(Faults::one("", format!("nested at most {MAX_DEPTH} deep")));
+    if exceeds_max_depth(text) {
+        return Err(Faults::single("", format!("nested at most {MAX_DEPTH} deep")));
     }
     let mut copy = text.to_vec();
-    simd_json::to_owned_value(&mut copy).map_err(|error| Faults::one("", format!("whole JSON; {error}")))
+    simd_json::to_owned_value(&mut copy).map_err(|error| Faults::single("", format!("whole JSON; {error}")))
 }
 
 /// Whether a text is nested deeper than is read; for other readers of JSON, whose stacks end as soon.
-pub fn too_deep(text: &[u8]) -> bool {
+pub fn exceeds_max_depth(text: &[u8]) -> bool {
     depth(text) > MAX_DEPTH
 }
 
--- a/crates/configuration/src/read.rs
+++ b/crates/configuration/src/read.rs
@@ -11,7 +11,7 @@
 use types::{ConfigVersion, Micros, SECOND};
 
 use crate::faults::{Faults, quoted};
-use crate::{Kind, Limits, Order, Route, Service, Target, routes};
+use crate::{Limits, RolloutOrder, Route, RouteKind, Service, Target, routes};
 
 /// Times over 30 years are taken for mistakes; they fit their type in microseconds many times over.
 const MAX_SECONDS: f64 = 1e9;
@@ -162,7 +162,7 @@
 ) -> Option<ConfigVersion> {
     let expected = "a text of eight hexadecimal digits";
     let version =
-        top.wanted("ConfigVersion", expected, faults, |value| value.as_str().and_then(crate::version))?;
+        top.wanted("ConfigVersion", expected, faults, |value| value.as_str().and_then(crate::parse_version))?;
     if above.is_some_and(|above| version <= above) {
         let above = above.unwrap_or_default();
         faults.add(
@@ -174,13 +174,17 @@
 }
 
 /// An operator's order of a roll-out.
-pub(crate) fn order(value: &OwnedValue) -> Result<Order, Faults> {
+pub(crate) fn order(value: &OwnedValue) -> Result<RolloutOrder, Faults> {
     let mut faults = Faults::default();
     let order = Fields::new(value, Place::Top, &mut faults).and_then(|top| {
         let service = top.text("TargetService", &mut faults);
         let target = top.text("TargetVersion", &mut faults);
         let period = top.seconds("RolloutPeriodS", &mut faults);
-        Some(Order { service: service?.to_owned(), target: target?.to_owned(), period: period? })
+        Some(RolloutOrder {
+            service: service?.to_owned(),
+            target_version: target?.to_owned(),
+            period: period?,
+        })
     });
     order.filter(|_| faults.is_empty()).ok_or(faults)
 }
@@ -224,7 +228,7 @@
                 let spec = fields.object("SpecBody", faults);
                 let spec = spec.and_then(|spec| Fields::new(spec, fields.at("SpecBody"), faults));
                 let Some(route) = spec.and_then(|spec| route(&spec, name, &known, faults)) else { continue };
-                if places.insert((route.host.clone(), route.prefix.clone())) {
+                if places.insert((route.host.clone(), route.path_prefix.clone())) {
                     routes.insert(name.to_owned(), route);
                 } else {
                     faults.add(place, "a host and prefix that no other route has together");
@@ -260,9 +264,9 @@
     });
     let kind =
         spec.wanted("RouteType", "'safe', 'unsafe' or 'upload'", faults, |value| match value.as_str()? {
-            "safe" => Some(Kind::Safe),
-            "unsafe" => Some(Kind::Unsafe),
-            "upload" => Some(Kind::Upload),
+            "safe" => Some(RouteKind::Safe),
+            "unsafe" => Some(RouteKind::Unsafe),
+            "upload" => Some(RouteKind::Upload),
             _ => None,
         });
     let timeout = spec.seconds("TimeoutS", faults);
@@ -273,13 +277,13 @@
     Some(Route {
         name: name.into(),
         host: host?,
-        prefix: prefix?.to_owned(),
+        path_prefix: prefix?.to_owned(),
         kind: kind?,
         timeout: timeout?,
-        aim: aim?,
-        rank: rank?,
+        target_latency: aim?,
+        priority: rank?,
         targets: targets?,
-        attempts: attempts?,
+        max_attempts: attempts?,
     })
 }
 
@@ -352,9 +356,9 @@
     let header_time = spec.seconds("HeaderTimeoutS", faults);
     let idle_time = spec.seconds("IdleTimeoutS", faults);
     Some(Limits {
-        header_bytes: header_bytes?,
-        body_bytes: body_bytes?,
-        header_time: header_time?,
-        idle_time: idle_time?,
+        max_header_bytes: header_bytes?,
+        max_body_bytes: body_bytes?,
+        header_timeout: header_time?,
+        idle_timeout: idle_time?,
     })
 }
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -22,7 +22,7 @@
 impl Finder {
     pub fn new<'a>(routes: impl Iterator<Item = &'a Route>) -> Finder {
         let mut rows: Vec<(&str, &str, usize)> =
-            routes.enumerate().map(|(at, route)| (&*route.host, &*route.prefix, at)).collect();
+            routes.enumerate().map(|(at, route)| (&*route.host, &*route.path_prefix, at)).collect();
         rows.sort_unstable();
         let mut hosts: Vec<Host> = Vec::new();
         for (name, prefix, at) in rows {
--- a/crates/control-state/examples/measure.rs
+++ b/crates/control-state/examples/measure.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use control_state::{Command, Script};
+use control_state::{Command, ControlState};
 use types::{ConfigVersion, FormatVersion, LogIndex, SECOND};
 
 fn main() {
@@ -11,13 +11,13 @@
         |version: u32| format!(r#"{{"ConfigVersion":"{version:08x}","Remove":{{"RouteTable":["x"]}}}}"#);
     let first = r#"{"ConfigVersion":"00000001","ResourceSet":[{"ResourceType":"LimitSet","HeaderBlock":{},
         "SpecBody":{"MaxHeaderBytes":1,"MaxBodyBytes":1,"HeaderTimeoutS":1,"IdleTimeoutS":1}}]}"#;
-    let mut script = Script::new();
+    let mut script = ControlState::new();
     let mut lead = |now, command: &Command| {
-        let (index, bytes) = (LogIndex(script.index().0 + 1), script.written(now, command));
+        let (index, bytes) = (LogIndex(script.last_applied().0 + 1), script.encode_command(now, command));
         script.apply(now, index, &bytes);
-        (script.snapshot().len(), script.remembered().1, bytes.len())
+        (script.snapshot().len(), script.idempotency_record_counts().1, bytes.len())
     };
-    lead(0, &Command::Agree { form: FormatVersion::V2 });
+    lead(0, &Command::AgreeFormat { format: FormatVersion::V2 });
     let (empty, ..) = lead(0, &Command::Replace { base: ConfigVersion(0), text: first.into() });
     println!("changes  remembered  bytes of the state beyond the configuration's {empty}");
     for n in 1..=5_000u32 {
--- a/crates/control-state/src/clock.rs
+++ b/crates/control-state/src/clock.rs
@@ -9,27 +9,27 @@
 use serde::{Deserialize, Serialize};
 use types::{LogIndex, Micros};
 
-use crate::orders;
+use crate::recent_orders;
 
 /// No deployment is so old: 36,000 years.
 const LAST: Micros = 1 << 60;
 
 /// What a leader writes before a command, from form 2 on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct Timestamp {
     /// The last entry that the leader had applied and that changed something.
-    pub after: LogIndex,
+    pub since_entry: LogIndex,
     /// So long ago.
-    pub passed: Micros,
+    pub elapsed: Micros,
     /// For so long callers may repeat an order, as the leader's settings say: settings may differ between nodes,
     /// what is applied may not.
-    pub guard: Micros,
+    pub repeat_window: Micros,
 }
 
-impl Stamp {
+impl Timestamp {
     /// Whether a leader may have written it.
     pub(crate) fn sound(self) -> bool {
-        (0..=LAST).contains(&self.passed) && (0..=orders::LONGEST_GUARD).contains(&self.guard)
+        (0..=LAST).contains(&self.elapsed) && (0..=recent_orders::LONGEST_GUARD).contains(&self.repeat_window)
     }
 }
 
@@ -47,14 +47,14 @@
         Clock { moment, last, here: now }
     }
 
-    pub fn stamp(&self, now: Micros, guard: Micros) -> Stamp {
+    pub fn timestamp(&self, now: Micros, guard: Micros) -> Timestamp {
         let passed = now.saturating_sub(self.here).clamp(0, LAST);
-        Stamp { after: self.last, passed, guard }
+        Timestamp { since_entry: self.last, elapsed: passed, repeat_window: guard }
     }
 
     /// The moment of a command that is applied next.
-    pub fn moment(&self, stamp: &Stamp) -> Micros {
-        let passed = if stamp.after == self.last { stamp.passed } else { 0 };
+    pub fn moment(&self, stamp: &Timestamp) -> Micros {
+        let passed = if stamp.since_entry == self.last { stamp.elapsed } else { 0 };
         (self.moment + passed).min(LAST)
     }
 
--- a/crates/control-state/src/taken.rs
+++ b/crates/control-state/src/idempotency.rs
@@ -16,7 +16,7 @@
 
 /// How a text was sent: the same text is another call as a change than as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ChangeKind {
     Replace = 0,
     Modify = 1,
 }
@@ -27,7 +27,7 @@
 pub struct Digest([u8; 16]);
 
 impl Digest {
-    pub fn of_text(kind: Kind, text: &[u8]) -> Digest {
+    pub fn of_text(kind: ChangeKind, text: &[u8]) -> Digest {
         let mut hash = Xxh3::new();
         hash.update(&[kind as u8]);
         hash.update(text);
--- a/crates/control-state/src/earlier.rs
+++ b/crates/control-state/src/legacy_idempotency.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use types::ConfigVersion;
 
-use crate::taken::Kind;
+use crate::idempotency::ChangeKind;
 
 pub(crate) const MOST: usize = 64;
 
@@ -19,7 +19,7 @@
 }
 
 impl Digest {
-    fn of(kind: Kind, base: ConfigVersion, text: &[u8]) -> Digest {
+    fn of(kind: ChangeKind, base: ConfigVersion, text: &[u8]) -> Digest {
         const START: u128 = 0x6c62272e07bb014262b821756295c58d;
         const PRIME: u128 = 0x0000000001000000000000000000013b;
         let head = [kind as u8].into_iter().chain(base.0.to_le_bytes());
@@ -37,13 +37,13 @@
 pub(crate) struct Earlier(VecDeque<Digest>);
 
 impl Earlier {
-    pub fn contains(&self, kind: Kind, base: ConfigVersion, text: &[u8]) -> bool {
+    pub fn contains(&self, kind: ChangeKind, base: ConfigVersion, text: &[u8]) -> bool {
         // The hash is slow on small machines: 10 ms a megabyte, tenfold on a twentieth of a core.
         let length = length(text);
         self.0.iter().any(|digest| digest.length == length) && self.0.contains(&Digest::of(kind, base, text))
     }
 
-    pub fn note(&mut self, kind: Kind, base: ConfigVersion, text: &[u8]) {
+    pub fn note(&mut self, kind: ChangeKind, base: ConfigVersion, text: &[u8]) {
         self.0.push_back(Digest::of(kind, base, text));
         while self.0.len() > MOST {
             self.0.pop_front();
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -1,36 +1,36 @@
-//! Script (the ordered state): what the commands of the log make, the same at every node: the configuration
+//! ControlState (the ordered state): what the commands of the log make, the same at every node: the configuration
 //! in force, and each service's roll-out. No I/O. Nothing that differs between nodes decides an outcome:
 //! local time is kept only as the moment since which something is known here.
 
 mod clock;
-mod count;
-mod earlier;
-mod orders;
+mod idempotency;
+mod legacy_idempotency;
 mod outcome;
+mod recent_orders;
 mod rollout;
 mod snapshot;
-mod taken;
+mod verdict;
 
 use std::sync::Arc;
 
 use clock::Clock;
-pub use clock::Stamp;
-use configuration::{Bill, Faults};
-pub use count::{Count, CountSettings, Tally, Voice, Vote, Votes};
-use earlier::Earlier;
+pub use clock::Timestamp;
+use configuration::{Configuration, Faults};
+use idempotency::{ChangeKind, Digest, Known, Taken};
 use indexmap::IndexMap;
-use orders::Orders;
-pub use outcome::{Broken, Outcome};
-pub use rollout::{Rollout, State};
+use legacy_idempotency::Earlier;
+pub use outcome::{CommandOutcome, SnapshotError};
+use recent_orders::Orders;
+pub use rollout::{Rollout, RolloutState};
 use serde::{Deserialize, Serialize};
-use taken::{Digest, Kind, Known, Taken};
 pub use types::{ConfigVersion, FormatRange, FormatVersion, LogIndex, Micros, NodeAddress};
+pub use verdict::{RouteTally, VerdictSettings, VerdictTally, Vote, VoteChoice, VoteSummary};
 
 /// Services whose versions are kept; beyond them new ones are refused, so that instances that make up names
 /// can't fill the memory of every node.
 pub const MAX_SERVICES: usize = 1024;
 /// The longest name of a service or version in a command, in bytes.
-pub const MAX_NAME: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// A command's own fields beside its text, in bytes, generously.
 const MAX_COMMAND: usize = configuration::MAX_BYTES + 1024;
 
@@ -42,25 +42,25 @@
     /// Named items on top of `base`.
     Modify { base: ConfigVersion, text: Vec<u8> },
     /// The operator wants `target` to take over within `period`.
-    Rollout { service: String, target: String, period: Micros },
+    Rollout { service: String, target_version: String, period: Micros },
     /// The count's end of a trial.
     Verdict { service: String, number: u32, completed: bool },
     /// The first instance of a service was of this version.
     Seen { service: String, version: String },
     /// All nodes known read this form: from here on commands and states may be written in it, and a node that
     /// does not read it stops applying.
-    Agree { form: FormatVersion },
+    AgreeFormat { format: FormatVersion },
 }
 
 impl Command {
     /// In the first form.
-    pub fn to_bytes(&self) -> Vec<u8> {
+    pub fn encode_v1(&self) -> Vec<u8> {
         // Plain data into memory: postcard has no way to fail here.
         postcard::to_extend(self, vec![FormatVersion::V1.tag_byte()]).expect("a command can be written")
     }
 
     /// In a form that is agreed: one byte says which, from the second on the stamp follows, then the command.
-    pub fn to_bytes_in(&self, form: FormatVersion, stamp: Stamp) -> Vec<u8> {
+    pub fn encode(&self, form: FormatVersion, stamp: Timestamp) -> Vec<u8> {
         let head = vec![form.tag_byte()];
         let written = match form {
             FormatVersion::V1 => postcard::to_extend(self, head),
@@ -70,12 +70,12 @@
     }
 
     /// None where the bytes are no command, or too many. Which forms are read is the state's to say.
-    pub fn from_bytes(data: &[u8]) -> Option<Command> {
-        Command::stamped(data).map(|(_, command)| command)
+    pub fn decode(data: &[u8]) -> Option<Command> {
+        Command::decode_with_timestamp(data).map(|(_, command)| command)
     }
 
     /// As `from_bytes`, with the stamp where its form has one.
-    pub fn stamped(data: &[u8]) -> Option<(Option<Stamp>, Command)> {
+    pub fn decode_with_timestamp(data: &[u8]) -> Option<(Option<Timestamp>, Command)> {
         if data.len() > MAX_COMMAND {
             return None;
         }
@@ -83,12 +83,12 @@
         let (stamp, data) = match form {
             FormatVersion::V1 => (None, data),
             _ => {
-                let (stamp, data): (Stamp, _) = postcard::take_from_bytes(data).ok()?;
+                let (stamp, data): (Timestamp, _) = postcard::take_from_bytes(data).ok()?;
                 (Some(stamp), data)
             }
         };
         let (command, rest): (Command, _) = postcard::take_from_bytes(data).ok()?;
-        let sound = rest.is_empty() && command.since() <= form && stamp.is_none_or(Stamp::sound);
+        let sound = rest.is_empty() && command.since() <= form && stamp.is_none_or(Timestamp::sound);
         sound.then_some((stamp, command))
     }
 
@@ -111,14 +111,14 @@
             | Command::Rollout { .. }
             | Command::Verdict { .. }
             | Command::Seen { .. }
-            | Command::Agree { .. } => FormatVersion::V1,
+            | Command::AgreeFormat { .. } => FormatVersion::V1,
         }
     }
 }
 
 /// The state after some entry of the log.
 #[derive(Clone, Debug)]
-pub struct Script {
+pub struct ControlState {
     index: LogIndex,
     /// What is read here.
     forms: FormatRange,
@@ -126,7 +126,7 @@
     agreed: FormatVersion,
     /// A form that is agreed and not read here: nothing more is applied.
     beyond: Option<FormatVersion>,
-    bill: Option<Arc<Bill>>,
+    bill: Option<Arc<Configuration>>,
     /// Configurations taken under form 1, and since.
     earlier: Earlier,
     taken: Taken,
@@ -141,14 +141,15 @@
     last_number: u32,
 }
 
-impl Default for Script {
-    fn default() -> Script {
-        Script::new()
+impl Default for ControlState {
+    fn default() -> ControlState {
+        ControlState::new()
     }
 }
 
 /// Stands for the stamp of a command that has none: no time has passed.
-const UNSTAMPED: Stamp = Stamp { after: LogIndex(0), passed: 0, guard: orders::GUARD };
+const UNSTAMPED: Timestamp =
+    Timestamp { since_entry: LogIndex(0), elapsed: 0, repeat_window: recent_orders::GUARD };
 
 /// A command's moment by the ordered clock, and for how long before it an order is repeated.
 #[derive(Clone, Copy)]
@@ -159,9 +160,9 @@
 
 /// What a good command will change; made by `judged`, carried out by `change`.
 enum Change {
-    Bill {
-        bill: Arc<Bill>,
-        kind: Kind,
+    Configuration {
+        bill: Arc<Configuration>,
+        kind: ChangeKind,
         base: ConfigVersion,
     },
     /// An order is acknowledged.
@@ -198,14 +199,14 @@
     Same,
 }
 
-impl Script {
-    pub fn new() -> Script {
-        Script::reading(FormatRange::SUPPORTED)
+impl ControlState {
+    pub fn new() -> ControlState {
+        ControlState::supporting(FormatRange::SUPPORTED)
     }
 
     /// For a node that reads these forms; all begins in the oldest of them.
-    pub fn reading(forms: FormatRange) -> Script {
-        Script {
+    pub fn supporting(forms: FormatRange) -> ControlState {
+        ControlState {
             index: LogIndex(0),
             forms,
             agreed: forms.oldest,
@@ -215,7 +216,7 @@
             taken: Taken::default(),
             orders: Orders::default(),
             clock: Clock::default(),
-            guard: orders::GUARD,
+            guard: recent_orders::GUARD,
             rollouts: IndexMap::new(),
             last_number: 1,
         }
@@ -223,74 +224,74 @@
 
     /// For `ack` after its first call at most, callers repeat an order that is no configuration (`AckS`). Twice that
     /// covers calls held up on the way.
-    pub fn repeated_for(&mut self, ack: Micros) {
-        self.guard = ack.saturating_mul(2).clamp(0, orders::LONGEST_GUARD);
+    pub fn set_acknowledgement_timeout(&mut self, ack: Micros) {
+        self.guard = ack.saturating_mul(2).clamp(0, recent_orders::LONGEST_GUARD);
     }
 
     /// A command as a leader writes it into the log now.
-    pub fn written(&self, now: Micros, command: &Command) -> Vec<u8> {
-        command.to_bytes_in(self.agreed, self.stamp(now))
+    pub fn encode_command(&self, now: Micros, command: &Command) -> Vec<u8> {
+        command.encode(self.agreed, self.timestamp(now))
     }
 
     /// What a leader writes before a command now.
-    pub fn stamp(&self, now: Micros) -> Stamp {
-        self.clock.stamp(now, self.guard)
+    pub fn timestamp(&self, now: Micros) -> Timestamp {
+        self.clock.timestamp(now, self.guard)
     }
 
     /// How many configurations are remembered, as under form 1 and since.
-    pub fn remembered(&self) -> (usize, usize) {
+    pub fn idempotency_record_counts(&self) -> (usize, usize) {
         (self.earlier.len(), self.taken.len())
     }
 
     /// The last entry applied; nothing at or before it is applied again.
-    pub fn index(&self) -> LogIndex {
+    pub fn last_applied(&self) -> LogIndex {
         self.index
     }
 
     /// The form that commands may be written in.
-    pub fn agreed(&self) -> FormatVersion {
+    pub fn agreed_format(&self) -> FormatVersion {
         self.agreed
     }
 
-    pub fn bill(&self) -> Option<&Arc<Bill>> {
+    pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.bill.as_ref()
     }
 
     /// The version in force, 0 before the first configuration.
-    pub fn version(&self) -> ConfigVersion {
+    pub fn configuration_version(&self) -> ConfigVersion {
         self.bill.as_ref().map_or(ConfigVersion(0), |bill| bill.version)
     }
 
     /// As `Rollout::build_of`; None for a service that nobody has seen.
-    pub fn build_of(&self, service: &str, version: &str) -> Option<u32> {
-        self.rollouts.get(service)?.build_of(version)
+    pub fn build_number_of(&self, service: &str, version: &str) -> Option<u32> {
+        self.rollouts.get(service)?.build_number_of(version)
     }
 
     /// Carries out the entry at `index`. Entries come in the log's order; one that was applied before, told
     /// twice by two sources, changes nothing and is `Old`. The outcome is the same at every node.
-    pub fn apply(&mut self, now: Micros, index: LogIndex, data: &[u8]) -> Outcome {
+    pub fn apply(&mut self, now: Micros, index: LogIndex, data: &[u8]) -> CommandOutcome {
         if index <= self.index {
-            return Outcome::Old;
+            return CommandOutcome::AlreadyApplied;
         }
         if let Some(form) = self.beyond {
-            return Outcome::Beyond { form };
+            return CommandOutcome::UnsupportedFormat { format: form };
         }
         let (form, _) = Command::split(data);
-        let command = Command::stamped(data);
+        let command = Command::decode_with_timestamp(data);
         let needed = match &command {
             // Nothing is written in a form before it is agreed: to everybody this is no command.
             _ if form > self.agreed => self.agreed,
-            Some((_, Command::Agree { form })) => (*form).max(self.agreed),
+            Some((_, Command::AgreeFormat { format: form })) => (*form).max(self.agreed),
             _ => form,
         };
         if !self.forms.contains(needed) {
             // What is here stays as it was before this entry, for good.
             self.beyond = Some(needed);
-            return Outcome::Beyond { form: needed };
+            return CommandOutcome::UnsupportedFormat { format: needed };
         }
         self.index = index;
         let Some((stamp, command)) = command.filter(|_| form <= self.agreed) else {
-            return Outcome::Unreadable;
+            return CommandOutcome::Unreadable;
         };
         // One written in form 1, and committed after the second was agreed, has none.
         let stamp = stamp.unwrap_or(UNSTAMPED);
@@ -301,19 +302,19 @@
                     self.clock = Clock::at(now, when.at, index);
                 }
                 self.change(now, change, &command, when);
-                Outcome::Taken
+                CommandOutcome::Applied
             }
             Err(outcome) => outcome,
         }
     }
 
-    fn when(&self, stamp: &Stamp) -> When {
-        When { at: self.clock.moment(stamp), guard: stamp.guard }
+    fn when(&self, stamp: &Timestamp) -> When {
+        When { at: self.clock.moment(stamp), guard: stamp.repeat_window }
     }
 
     /// What `apply` would say now of a command without a stamp, so that one that would change nothing is never
     /// ordered.
-    pub fn check(&self, command: &Command) -> Result<(), Outcome> {
+    pub fn check(&self, command: &Command) -> Result<(), CommandOutcome> {
         self.judged(command, self.when(&UNSTAMPED)).map(|_| ())
     }
 
@@ -321,62 +322,72 @@
     /// order of a version whose trial was reverted here only a moment ago is `Again`. An operator whose answer was
     /// lost sends the order again for a while: if the version was sent back meanwhile, that late repeat must not put
     /// a bad version on trial a second time.
-    pub fn check_at(&self, now: Micros, command: &Command) -> Result<(), Outcome> {
+    pub fn check_as_leader(&self, now: Micros, command: &Command) -> Result<(), CommandOutcome> {
         if self.agreed == FormatVersion::V1
-            && let Command::Rollout { service, target, .. } = command
+            && let Command::Rollout { service, target_version: target, .. } = command
             && let Some(rollout) = self.rollouts.get(service)
             && rollout.just_reverted(now, target)
         {
-            return Err(Outcome::Again);
+            return Err(CommandOutcome::Repeated);
         }
-        self.judged(command, self.when(&self.stamp(now))).map(|_| ())
+        self.judged(command, self.when(&self.timestamp(now))).map(|_| ())
     }
 
-    fn judged(&self, command: &Command, when: When) -> Result<Change, Outcome> {
+    fn judged(&self, command: &Command, when: When) -> Result<Change, CommandOutcome> {
         match command {
-            Command::Replace { base, text } => self.judged_text(Kind::Replace, *base, text),
-            Command::Modify { base, text } => self.judged_text(Kind::Modify, *base, text),
-            Command::Rollout { service, target, period } => self.judged_order(service, target, *period, when),
+            Command::Replace { base, text } => self.judged_text(ChangeKind::Replace, *base, text),
+            Command::Modify { base, text } => self.judged_text(ChangeKind::Modify, *base, text),
+            Command::Rollout { service, target_version: target, period } => {
+                self.judged_order(service, target, *period, when)
+            }
             Command::Verdict { service, number, completed } => {
                 let rollout = self.rollouts.get(service).ok_or_else(|| unknown(service))?;
                 rollout.judged_end(*number, *completed)?;
                 Ok(Change::End { service: service.clone(), completed: *completed })
             }
             Command::Seen { service, version } => self.judged_seen(service, version),
-            Command::Agree { form } if *form > self.agreed => Ok(Change::Agreed { form: *form }),
-            Command::Agree { .. } => Err(Outcome::Again),
+            Command::AgreeFormat { format: form } if *form > self.agreed => {
+                Ok(Change::Agreed { form: *form })
+            }
+            Command::AgreeFormat { .. } => Err(CommandOutcome::Repeated),
         }
     }
 
-    fn judged_text(&self, kind: Kind, base: ConfigVersion, text: &[u8]) -> Result<Change, Outcome> {
-        let current = self.version();
+    fn judged_text(
+        &self, kind: ChangeKind, base: ConfigVersion, text: &[u8],
+    ) -> Result<Change, CommandOutcome> {
+        let current = self.configuration_version();
         // What was taken on the current version would have made another one current.
         if base != current {
             let known = self.taken.known(base, || Digest::of_text(kind, text));
             let taken =
                 known == Known::Taken || known == Known::Unknown && self.earlier.contains(kind, base, text);
-            return Err(if taken { Outcome::Again } else { Outcome::Raced { current } });
+            return Err(if taken {
+                CommandOutcome::Repeated
+            } else {
+                CommandOutcome::VersionConflict { current }
+            });
         }
         let bill = match (kind, &self.bill) {
-            (Kind::Replace, _) => Bill::read_above(text, current),
-            (Kind::Modify, Some(bill)) => bill.changed(text),
-            (Kind::Modify, None) => Bill::begun(text),
+            (ChangeKind::Replace, _) => Configuration::parse_newer_than(text, current),
+            (ChangeKind::Modify, Some(bill)) => bill.with_change(text),
+            (ChangeKind::Modify, None) => Configuration::from_change(text),
         };
-        let bill = Arc::new(bill.map_err(Outcome::Invalid)?);
-        Ok(Change::Bill { bill, kind, base })
+        let bill = Arc::new(bill.map_err(CommandOutcome::Invalid)?);
+        Ok(Change::Configuration { bill, kind, base })
     }
 
     fn judged_order(
         &self, service: &str, target: &str, period: Micros, when: When,
-    ) -> Result<Change, Outcome> {
+    ) -> Result<Change, CommandOutcome> {
         named("TargetService", service)?;
         named("TargetVersion", target)?;
         if period <= 0 {
-            return Err(Outcome::Invalid(Faults::one("RolloutPeriodS", "seconds above 0")));
+            return Err(CommandOutcome::Invalid(Faults::single("RolloutPeriodS", "seconds above 0")));
         }
         let digest = Digest::of_order(service, target, period);
         if self.orders.repeats(digest, when.at, when.guard) {
-            return Err(Outcome::Again);
+            return Err(CommandOutcome::Repeated);
         }
         let trial = || Wish::Trial { service: service.into(), target: target.into(), period };
         let listed = self.bill.as_ref().is_none_or(|bill| bill.services.contains_key(service));
@@ -388,48 +399,50 @@
             return Ok(Change::Order { digest, wish: trial() });
         };
         let wish = match rollout.state {
-            Some(State::InProgress | State::Completed) if rollout.target == target => {
+            Some(RolloutState::InProgress | RolloutState::Completed) if rollout.target_version == target => {
                 if self.agreed == FormatVersion::V1 {
-                    return Err(Outcome::Again);
+                    return Err(CommandOutcome::Repeated);
                 }
                 Wish::Same
             }
-            Some(State::InProgress) => {
-                let text = format!("a roll-out of {service} to {} is under way", rollout.target);
-                return Err(Outcome::Conflict(text));
+            Some(RolloutState::InProgress) => {
+                let text = format!("a roll-out of {service} to {} is under way", rollout.target_version);
+                return Err(CommandOutcome::Conflict(text));
+            }
+            _ if rollout.current_version.as_deref() == Some(target) => {
+                Wish::Already { service: service.into() }
             }
-            _ if rollout.current.as_deref() == Some(target) => Wish::Already { service: service.into() },
             _ => trial(),
         };
         Ok(Change::Order { digest, wish })
     }
 
-    fn judged_seen(&self, service: &str, version: &str) -> Result<Change, Outcome> {
+    fn judged_seen(&self, service: &str, version: &str) -> Result<Change, CommandOutcome> {
         named("TargetService", service)?;
         named("ConfigVersion", version)?;
         match self.rollouts.get(service) {
             None => self.room()?,
             // A version on trial, or one that was sent back, is not what was there before.
-            Some(rollout) if rollout.current.is_some() || rollout.target == version => {
-                return Err(Outcome::Again);
+            Some(rollout) if rollout.current_version.is_some() || rollout.target_version == version => {
+                return Err(CommandOutcome::Repeated);
             }
             Some(_) => {}
         }
         Ok(Change::Base { service: service.into(), version: version.into() })
     }
 
-    fn room(&self) -> Result<(), Outcome> {
+    fn room(&self) -> Result<(), CommandOutcome> {
         if self.rollouts.len() < MAX_SERVICES {
             return Ok(());
         }
-        Err(Outcome::Conflict(format!("{MAX_SERVICES} services are known already")))
+        Err(CommandOutcome::Conflict(format!("{MAX_SERVICES} services are known already")))
     }
 
     /// The one place where a command changes the state.
     fn change(&mut self, now: Micros, change: Change, command: &Command, when: When) {
         let second = self.agreed >= FormatVersion::V2;
         match change {
-            Change::Bill { bill, kind, base } => {
+            Change::Configuration { bill, kind, base } => {
                 self.bill = Some(bill);
                 let (Command::Replace { text, .. } | Command::Modify { text, .. }) = command else { return };
                 if second {
@@ -455,7 +468,8 @@
                     // service: whatever that was, its repeats may still come.
                     self.clock = Clock::at(now, 0, self.index);
                     for rollout in self.rollouts.values().filter(|rollout| rollout.state.is_some()) {
-                        let digest = Digest::of_order(&rollout.service, &rollout.target, rollout.period);
+                        let digest =
+                            Digest::of_order(&rollout.service, &rollout.target_version, rollout.period);
                         self.orders.note(digest, when.at, when.guard);
                     }
                 }
@@ -481,13 +495,13 @@
     }
 }
 
-fn unknown(service: &str) -> Outcome {
-    Outcome::Unknown(format!("no service {service}"))
+fn unknown(service: &str) -> CommandOutcome {
+    CommandOutcome::UnknownService(format!("no service {service}"))
 }
 
-fn named(field: &str, name: &str) -> Result<(), Outcome> {
-    if (1..=MAX_NAME).contains(&name.len()) {
+fn named(field: &str, name: &str) -> Result<(), CommandOutcome> {
+    if (1..=MAX_NAME_BYTES).contains(&name.len()) {
         return Ok(());
     }
-    Err(Outcome::Invalid(Faults::one(field, format!("a text of 1 to {MAX_NAME} bytes"))))
+    Err(CommandOutcome::Invalid(Faults::single(field, format!("a text of 1 to {MAX_NAME_BYTES} bytes"))))
 }
--- a/crates/control-state/src/outcome.rs
+++ b/crates/control-state/src/outcome.rs
@@ -1,56 +1,56 @@
-//! Outcome (of a command): a value, the same at every node, with the status that its caller is answered.
+//! CommandOutcome (of a command): a value, the same at every node, with the status that its caller is answered.
 
 use configuration::Faults;
 use types::{ConfigVersion, FormatVersion};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    Taken,
+pub enum CommandOutcome {
+    Applied,
     /// Exactly this one was taken before.
-    Again,
+    Repeated,
     /// Made on top of another version than the current one.
-    Raced {
+    VersionConflict {
         current: ConfigVersion,
     },
     Invalid(Faults),
     /// Something else is under way; the text says what.
     Conflict(String),
     /// There is no such service.
-    Unknown(String),
+    UnknownService(String),
     /// No command of ours.
     Unreadable,
     /// This form is agreed and not read here: the entry was not applied, and none after it will be.
-    Beyond {
-        form: FormatVersion,
+    UnsupportedFormat {
+        format: FormatVersion,
     },
     /// The entry was applied earlier, or the state is past it; nothing was done, and nothing is said about
     /// what its command came to.
-    Old,
+    AlreadyApplied,
 }
 
-impl Outcome {
+impl CommandOutcome {
     /// The status of the answer. `Old` gives no clear one, so that the caller asks again.
-    pub fn status(&self) -> u16 {
+    pub fn http_status(&self) -> u16 {
         match self {
-            Outcome::Taken | Outcome::Again => 200,
-            Outcome::Raced { .. } => 412,
-            Outcome::Invalid(_) | Outcome::Unreadable => 400,
-            Outcome::Conflict(_) => 409,
-            Outcome::Unknown(_) => 404,
-            Outcome::Old | Outcome::Beyond { .. } => 503,
+            CommandOutcome::Applied | CommandOutcome::Repeated => 200,
+            CommandOutcome::VersionConflict { .. } => 412,
+            CommandOutcome::Invalid(_) | CommandOutcome::Unreadable => 400,
+            CommandOutcome::Conflict(_) => 409,
+            CommandOutcome::UnknownService(_) => 404,
+            CommandOutcome::AlreadyApplied | CommandOutcome::UnsupportedFormat { .. } => 503,
         }
     }
 }
 
 /// Why a kept state was not taken over. The state before it stands unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
+pub enum SnapshotError {
     #[error("the kept state cannot be read")]
     Unreadable,
     #[error("the kept state's form {0} is not known here")]
-    Form(u8),
+    UnsupportedFormat(u8),
     #[error("the kept configuration has faults: {0}")]
-    Bill(Faults),
-    #[error("the kept state is of entry {kept}, older than entry {here} here")]
-    Older { kept: u64, here: u64 },
+    Configuration(Faults),
+    #[error("the kept state is of entry {snapshot_index}, older than entry {current_index} here")]
+    Older { snapshot_index: u64, current_index: u64 },
 }
--- a/crates/control-state/src/orders.rs
+++ b/crates/control-state/src/recent_orders.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use types::{Micros, SECOND};
 
-use crate::taken::Digest;
+use crate::idempotency::Digest;
 
 /// Eight are under way at once; so many are acknowledged within no guard.
 pub const MOST: usize = 256;
--- a/crates/control-state/src/snapshot.rs
+++ b/crates/control-state/src/snapshot.rs
@@ -2,16 +2,16 @@
 
 use std::sync::Arc;
 
-use configuration::Bill;
+use configuration::Configuration;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 use types::{FormatVersion, LogIndex, Micros};
 
 use crate::clock::Clock;
-use crate::earlier::{self, Earlier};
-use crate::orders::Orders;
-use crate::taken::Taken;
-use crate::{Broken, MAX_SERVICES, Rollout, Script, State};
+use crate::idempotency::Taken;
+use crate::legacy_idempotency::{self, Earlier};
+use crate::recent_orders::Orders;
+use crate::{ControlState, MAX_SERVICES, Rollout, RolloutState, SnapshotError};
 
 /// As form 1 has it.
 #[derive(Serialize, Deserialize)]
@@ -36,28 +36,28 @@
 struct KeptRollout {
     service: String,
     current: Option<String>,
-    state: Option<State>,
+    state: Option<RolloutState>,
     target: String,
     number: u32,
     base_number: u32,
     period: Micros,
 }
 
-impl Script {
+impl ControlState {
     /// In the form that is agreed, which stands first. The state without its index and without local times, which
     /// differ between nodes.
     pub fn snapshot(&self) -> Vec<u8> {
         let rollouts = self.rollouts.values().map(|rollout| KeptRollout {
             service: rollout.service.clone(),
-            current: rollout.current.clone(),
+            current: rollout.current_version.clone(),
             state: rollout.state,
-            target: rollout.target.clone(),
-            number: rollout.number,
-            base_number: rollout.base_number,
+            target: rollout.target_version.clone(),
+            number: rollout.build_number,
+            base_number: rollout.current_build_number,
             period: rollout.period,
         });
         let kept = Kept {
-            text: self.bill().map(|bill| bill.text()),
+            text: self.configuration().map(|bill| bill.to_json()),
             earlier: self.earlier.clone(),
             rollouts: rollouts.collect(),
             last_number: self.last_number,
@@ -79,49 +79,52 @@
 
     /// Takes over the state that another node, or this one's disk, had after the entry at `index`. On an
     /// error nothing has changed. Going back to an older entry is refused.
-    pub fn restore(&mut self, now: Micros, index: LogIndex, data: &[u8]) -> Result<(), Broken> {
+    pub fn restore(&mut self, now: Micros, index: LogIndex, data: &[u8]) -> Result<(), SnapshotError> {
         if index < self.index {
-            return Err(Broken::Older { kept: index.0, here: self.index.0 });
+            return Err(SnapshotError::Older { snapshot_index: index.0, current_index: self.index.0 });
         }
-        let (form, data) = data.split_first().ok_or(Broken::Unreadable)?;
+        let (form, data) = data.split_first().ok_or(SnapshotError::Unreadable)?;
         let agreed = FormatVersion(*form);
         if !self.forms.contains(agreed) {
-            return Err(Broken::Form(*form));
+            return Err(SnapshotError::UnsupportedFormat(*form));
         }
-        let (kept, rest): (Kept, _) = postcard::take_from_bytes(data).map_err(|_| Broken::Unreadable)?;
+        let (kept, rest): (Kept, _) =
+            postcard::take_from_bytes(data).map_err(|_| SnapshotError::Unreadable)?;
         let (more, rest): (More, _) = match agreed {
             FormatVersion::V1 => (More::default(), rest),
-            _ => postcard::take_from_bytes(rest).map_err(|_| Broken::Unreadable)?,
+            _ => postcard::take_from_bytes(rest).map_err(|_| SnapshotError::Unreadable)?,
         };
-        let sound = kept.rollouts.len() <= MAX_SERVICES && kept.earlier.len() <= earlier::MOST;
+        let sound = kept.rollouts.len() <= MAX_SERVICES && kept.earlier.len() <= legacy_idempotency::MOST;
         let sound = sound && Clock::sound(more.moment) && more.last <= index;
         let sound = sound && more.taken.sound(more.moment) && more.orders.sound(more.moment);
         if !sound || !rest.is_empty() {
-            return Err(Broken::Unreadable);
+            return Err(SnapshotError::Unreadable);
         }
         let bill = match kept.text {
             // The one that stands here already need not be read again.
-            Some(text) if self.bill().is_some_and(|bill| bill.as_text() == text) => self.bill.clone(),
-            Some(text) => Some(Arc::new(Bill::read(&text).map_err(Broken::Bill)?)),
+            Some(text) if self.configuration().is_some_and(|bill| bill.as_json() == text) => {
+                self.bill.clone()
+            }
+            Some(text) => Some(Arc::new(Configuration::parse(&text).map_err(SnapshotError::Configuration)?)),
             None => None,
         };
         let mut rollouts = IndexMap::with_capacity(kept.rollouts.len());
         for kept in kept.rollouts {
             let known = self.rollouts.get(&kept.service);
-            let known = known.filter(|known| known.number == kept.number && known.state == kept.state);
+            let known = known.filter(|known| known.build_number == kept.number && known.state == kept.state);
             let rollout = Rollout {
-                since: known.map_or(now, |known| known.since),
-                current: kept.current,
+                state_since: known.map_or(now, |known| known.state_since),
+                current_version: kept.current,
                 state: kept.state,
-                target: kept.target,
-                number: kept.number,
-                base_number: kept.base_number,
+                target_version: kept.target,
+                build_number: kept.number,
+                current_build_number: kept.base_number,
                 period: kept.period,
                 service: kept.service,
             };
             rollouts.insert(rollout.service.clone(), rollout);
         }
-        *self = Script {
+        *self = ControlState {
             index,
             forms: self.forms,
             agreed,
--- a/crates/extras/src/sockets/part.rs
+++ b/crates/extras/src/sockets/part.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use clap::Args;
-use control_state::{Command, Outcome};
+use control_state::{Command, CommandOutcome};
 use cpu_time::ProcessTime;
 use playhouse::control::Told as Answer;
 use playhouse::settings::Settings;
@@ -384,7 +384,8 @@
                 if let Some(leader) = leader {
                     let answer =
                         call(leader, &waiting, |node, now, ask| node.order(now, ask, command.clone())).await;
-                    if let Some(Answer::Applied(Outcome::Taken | Outcome::Again)) = answer {
+                    if let Some(Answer::Applied(CommandOutcome::Applied | CommandOutcome::Repeated)) = answer
+                    {
                         break;
                     }
                 }
--- a/crates/extras/src/world.rs
+++ b/crates/extras/src/world.rs
@@ -221,7 +221,7 @@
     /// machine may be slow or busy.
     fn take_yard(&mut self) {
         let clock = ThreadTime::now();
-        let read = configuration::Bill::read(&self.yard);
+        let read = configuration::Configuration::parse(&self.yard);
         let nanos = clock.elapsed().as_nanos() as u64;
         if read.is_ok() {
             self.yards.push(nanos);
--- a/crates/extras/src/world/callers.rs
+++ b/crates/extras/src/world/callers.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use control_state::{Command, Outcome};
+use control_state::{Command, CommandOutcome};
 use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
 use playhouse::control::Told;
 use registry::{Beat, InstanceId};
@@ -214,8 +214,11 @@
             let after = self.span(0, SECOND);
             self.later(after, Event::Beat { instance: added, life: 0 });
         }
-        let command =
-            Command::Rollout { service: text::service(0), target: "v2".to_owned(), period: 60 * SECOND };
+        let command = Command::Rollout {
+            service: text::service(0),
+            target_version: "v2".to_owned(),
+            period: 60 * SECOND,
+        };
         let (version, since, left) = (self.version, self.now, vec![false; self.nodes.len()]);
         self.order =
             Some(Order { version, command, since, ask: 0, at: 0, acknowledged: None, left, waiting: 0 });
@@ -250,7 +253,7 @@
         let now = self.now;
         let Some(order) = &mut self.order else { return };
         match told {
-            Told::Applied(Outcome::Taken | Outcome::Again) => {
+            Told::Applied(CommandOutcome::Applied | CommandOutcome::Repeated) => {
                 order.acknowledged = Some(now);
                 self.version = order.version;
                 self.figures.acknowledged_s.push((now - order.since) as f64 / 1e6);
--- a/crates/extras/src/world/node.rs
+++ b/crates/extras/src/world/node.rs
@@ -206,7 +206,7 @@
     }
 
     pub fn came(&mut self, now: Micros, ticket: RequestId, service: &str, route: &str) -> Vec<Did> {
-        let kind = configuration::Kind::Safe;
+        let kind = configuration::RouteKind::Safe;
         let left = 1_500_000;
         self.gateway(now, floor::In::Came { ticket, service, route, kind, left })
     }
--- a/crates/intent/src/parts.rs
+++ b/crates/intent/src/parts.rs
@@ -2,7 +2,7 @@
 //! over its routes, so that two intents compare part by part and range by range. What a request's handling
 //! shows of an intent is an `Act`, and `Row::chance` tells how likely it is under one.
 
-use configuration::{Bill, Kind, Route};
+use configuration::{Configuration, Route, RouteKind};
 use control_state::Rollout;
 use serde::{Deserialize, Serialize};
 use types::LogIndex;
@@ -102,7 +102,7 @@
     /// Went to an instance of this service.
     Service(ServiceKey),
     Rank(u32),
-    Kind(u8),
+    RouteKind(u8),
     Limits(u32),
     /// A sum over the row's services, and over their weights.
     Targets(u32),
@@ -129,7 +129,7 @@
         let row = targets(route);
         Took {
             service: ServiceKey::of(service),
-            rank: route.rank,
+            rank: route.priority,
             kind: kind(route.kind),
             limits: limits(route) as u32,
             targets: services(&row) as u32,
@@ -145,7 +145,7 @@
                 Some(Act::Found),
                 Some(Act::Service(service)),
                 Some(Act::Rank(rank)),
-                Some(Act::Kind(kind)),
+                Some(Act::RouteKind(kind)),
                 Some(Act::Limits(limits)),
                 Some(Act::Targets(targets)),
                 Some(Act::Weights(weights)),
@@ -163,13 +163,13 @@
         let limits = limits(route);
         let sums = [
             salted(0, services(&targets)),
-            salted(1, route.rank.into()),
+            salted(1, route.priority.into()),
             salted(2, kind(route.kind).into()),
             salted(3, limits),
             salted(4, weights),
             0,
         ];
-        let (rank, kind) = (route.rank, kind(route.kind));
+        let (rank, kind) = (route.priority, kind(route.kind));
         Row { key, sums, rank, kind, limits: limits as u32, weights: weights as u32, targets }
     }
 
@@ -182,7 +182,7 @@
                 if known { Part::Splits } else { Part::Routes }
             }
             Act::Rank(_) | Act::Before(_) => Part::Priorities,
-            Act::Kind(_) => Part::Kinds,
+            Act::RouteKind(_) => Part::Kinds,
             Act::Limits(_) => Part::Limits,
             Act::Weights(_) => Part::Splits,
         }
@@ -200,7 +200,7 @@
             }
             (Some(row), Act::Rank(rank)) => sure(row.rank == rank),
             (Some(row), Act::Before(rank)) => sure(row.rank <= rank),
-            (Some(row), Act::Kind(kind)) => sure(row.kind == kind),
+            (Some(row), Act::RouteKind(kind)) => sure(row.kind == kind),
             (Some(row), Act::Limits(limits)) => sure(row.limits == limits),
             (Some(row), Act::Targets(targets)) => sure(services(&row.targets) as u32 == targets),
             (Some(row), Act::Weights(weights)) => sure(row.weights == weights),
@@ -221,20 +221,22 @@
     /// Reads an intent back from a bill and the roll-outs. For `Held` it must be handed those that the
     /// traffic
     /// uses at that moment, not those that were received.
-    pub fn read<'a>(index: LogIndex, bill: &Bill, rollouts: impl Iterator<Item = &'a Rollout>) -> Intent {
+    pub fn read<'a>(
+        index: LogIndex, bill: &Configuration, rollouts: impl Iterator<Item = &'a Rollout>,
+    ) -> Intent {
         let routes = bill.routes.values();
         let mut rows: Vec<Row> =
-            routes.map(|route| Row::of(RouteKey::of(&route.host, &route.prefix), route)).collect();
+            routes.map(|route| Row::of(RouteKey::of(&route.host, &route.path_prefix), route)).collect();
         rows.push(Intent::common(bill, rollouts));
         rows.sort_by_key(|row| row.key);
         Intent { index, digest: digest(&rows), rows }
     }
 
     /// What holds for all routes: limits, services, roll-outs.
-    fn common<'a>(bill: &Bill, rollouts: impl Iterator<Item = &'a Rollout>) -> Row {
+    fn common<'a>(bill: &Configuration, rollouts: impl Iterator<Item = &'a Rollout>) -> Row {
         let most = &bill.limits;
-        let times = [most.header_time, most.idle_time].map(|time| time as u64);
-        let all = [most.header_bytes, most.body_bytes, times[0], times[1]];
+        let times = [most.header_timeout, most.idle_timeout].map(|time| time as u64);
+        let all = [most.max_header_bytes, most.max_body_bytes, times[0], times[1]];
         let mut limits = all.iter().fold(1, |sum, value| mix(sum, *value));
         for service in bill.services.values() {
             let name = mix(hash(service.name.as_bytes()), hash(service.health_path.as_bytes()));
@@ -242,10 +244,10 @@
         }
         let mut verdicts = 0u64;
         for rollout in rollouts {
-            let current = rollout.current.as_deref().map_or(0, |name| hash(name.as_bytes()));
+            let current = rollout.current_version.as_deref().map_or(0, |name| hash(name.as_bytes()));
             let state = rollout.state.map_or(0, |state| 1 + state as u64);
-            let versions = mix(current, hash(rollout.target.as_bytes()));
-            let which = mix(hash(rollout.service.as_bytes()), u64::from(rollout.number) << 3 | state);
+            let versions = mix(current, hash(rollout.target_version.as_bytes()));
+            let which = mix(hash(rollout.service.as_bytes()), u64::from(rollout.build_number) << 3 | state);
             verdicts = verdicts.wrapping_add(mix(which, versions));
         }
         let sums = [0, 0, 0, mix(3, limits), 0, mix(5, verdicts)];
@@ -317,16 +319,16 @@
     digest
 }
 
-fn kind(kind: Kind) -> u8 {
+fn kind(kind: RouteKind) -> u8 {
     match kind {
-        Kind::Safe => 0,
-        Kind::Unsafe => 1,
-        Kind::Upload => 2,
+        RouteKind::Safe => 0,
+        RouteKind::Unsafe => 1,
+        RouteKind::Upload => 2,
     }
 }
 
 fn limits(route: &Route) -> u64 {
-    [route.timeout as u64, route.aim as u64, route.attempts.into()].into_iter().fold(1, mix)
+    [route.timeout as u64, route.target_latency as u64, route.max_attempts.into()].into_iter().fold(1, mix)
 }
 
 /// The services with a weight over 0, and their shares, by key.
--- a/crates/load/src/share.rs
+++ b/crates/load/src/share.rs
@@ -9,31 +9,34 @@
 
 /// How many gateways may use one instance, and how many connections each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Share {
-    pub gateways: usize,
-    pub connections: usize,
+pub struct ConnectionShare {
+    pub max_gateways: usize,
+    pub connections_per_gateway: usize,
 }
 
-impl Share {
+impl ConnectionShare {
     /// For an instance that accepts `accepts` connections from all callers together.
-    pub fn of(accepts: u32, gateways: usize) -> Share {
+    pub fn new(accepts: u32, gateways: usize) -> ConnectionShare {
         let used = ((f64::from(accepts) * USED) as usize).max(1);
         let gateways = gateways.max(1);
-        Share { gateways: gateways.min(used), connections: (used / gateways).max(1) }
+        ConnectionShare {
+            max_gateways: gateways.min(used),
+            connections_per_gateway: (used / gateways).max(1),
+        }
     }
 
-    /// How many gateways come before `own` at an instance, as [`Share::usable`] takes it. Where every gateway
+    /// How many gateways come before `own` at an instance, as [`ConnectionShare::usable`] takes it. Where every gateway
     /// may use every instance the order does not matter, and 0 saves ranking all gateways at each instance.
-    pub fn before(&self, own: NodeAddress, gateways: &[NodeAddress], instance: &str) -> usize {
-        if gateways.len() <= self.gateways { 0 } else { before(own, gateways, instance) }
+    pub fn gateways_ahead(&self, own: NodeAddress, gateways: &[NodeAddress], instance: &str) -> usize {
+        if gateways.len() <= self.max_gateways { 0 } else { gateways_ahead(own, gateways, instance) }
     }
 
     /// Of a service's instances, those that a gateway may use, by how many gateways come before it at each:
     /// where it is among the first. One that is so nowhere uses the one where the fewest come before it, within
     /// what instances accept beyond `USED`. Guards against a gateway that no instance has a place for, where
     /// instances are few.
-    pub fn usable(&self, before: &[usize]) -> Vec<bool> {
-        let mut usable: Vec<bool> = before.iter().map(|before| *before < self.gateways).collect();
+    pub fn usable_instances(&self, before: &[usize]) -> Vec<bool> {
+        let mut usable: Vec<bool> = before.iter().map(|before| *before < self.max_gateways).collect();
         if !usable.contains(&true)
             && let Some(nearest) = (0..before.len()).min_by_key(|at| before[*at])
         {
@@ -45,7 +48,7 @@
 
 /// How many gateways come before `own` at an instance: those that a hash of both names ranks higher. A gateway
 /// more or less moves only its own places.
-pub fn before(own: NodeAddress, gateways: &[NodeAddress], instance: &str) -> usize {
+pub fn gateways_ahead(own: NodeAddress, gateways: &[NodeAddress], instance: &str) -> usize {
     let named = fold(START, instance.as_bytes());
     let rank = |place: NodeAddress| (mix(named, place), place);
     let first = rank(own);
--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -12,7 +12,7 @@
 
 /// Of the names of a trial's instances, for each whether it is among those that are loaded: those that a hash of
 /// their names ranks first. One that goes moves one place.
-pub fn tried(part: f64, instances: &[&str]) -> Vec<bool> {
+pub fn loaded_instances(part: f64, instances: &[&str]) -> Vec<bool> {
     let ranks: Vec<(u64, &str)> =
         instances.iter().map(|name| (stir(fold(START, name.as_bytes())), *name)).collect();
     let mut sorted = ranks.clone();
--- a/crates/playhouse/src/calls.rs
+++ b/crates/playhouse/src/calls.rs
@@ -87,7 +87,7 @@
 /// Values are built and dropped by recursion: a body of a few thousand brackets would end the stack, and with
 /// it the process.
 fn read(body: &[u8]) -> Result<OwnedValue, Wrong> {
-    if configuration::too_deep(body) {
+    if configuration::exceeds_max_depth(body) {
         return bad(format!("body: nested at most {} deep expected", configuration::MAX_DEPTH));
     }
     let mut bytes = body.to_vec();
--- a/crates/playhouse/src/commands/check.rs
+++ b/crates/playhouse/src/commands/check.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use configuration::Bill;
+use configuration::Configuration;
 use membership::Part;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
@@ -161,7 +161,7 @@
         }
         Err(failed) => return Err(failed),
     };
-    Ok(match Bill::read(&bytes) {
+    Ok(match Configuration::parse(&bytes) {
         Ok(bill) => {
             let holds = format!(
                 "  version {}\n  {} routes\n  {} services\n",
@@ -173,7 +173,7 @@
         }
         Err(faults) => {
             let list = faults.list.into_iter().map(|fault| (fault.place, fault.expected));
-            looked(list.collect(), faults.more, String::new())
+            looked(list.collect(), faults.omitted, String::new())
         }
     })
 }
--- a/crates/playhouse/src/commands/config.rs
+++ b/crates/playhouse/src/commands/config.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use configuration::Bill;
+use configuration::Configuration;
 use hyper::{Method, StatusCode};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
@@ -42,7 +42,8 @@
 }
 
 fn version(text: &str) -> Result<ConfigVersion, String> {
-    configuration::base_version(text).ok_or_else(|| "one to eight hexadecimal digits expected".to_owned())
+    configuration::parse_base_version(text)
+        .ok_or_else(|| "one to eight hexadecimal digits expected".to_owned())
 }
 
 impl Config {
@@ -80,13 +81,13 @@
 fn meant(path: &Path, bytes: &[u8], now: Option<&[u8]>) -> Result<Vec<u8>, Failed> {
     let bad = |faults: configuration::Faults| Failed::Wrong(format!("{}: {faults}", path.display()));
     if is_whole(path, bytes)? {
-        return Bill::read(bytes).map(|bill| bill.text()).map_err(bad);
+        return Configuration::parse(bytes).map(|bill| bill.to_json()).map_err(bad);
     }
     let made = match now {
-        Some(now) => Bill::read(now).and_then(|bill| bill.changed(bytes)),
-        None => Bill::begun(bytes),
+        Some(now) => Configuration::parse(now).and_then(|bill| bill.with_change(bytes)),
+        None => Configuration::from_change(bytes),
     };
-    made.map(|bill| bill.text()).map_err(bad)
+    made.map(|bill| bill.to_json()).map_err(bad)
 }
 
 /// One item that differs.
@@ -205,7 +206,7 @@
     let base = match base {
         Some(base) => base,
         None => match current(at).await? {
-            Some(text) => Bill::read(&text).map(|bill| bill.version).map_err(|faults| {
+            Some(text) => Configuration::parse(&text).map(|bill| bill.version).map_err(|faults| {
                 Failed::NoAnswer(format!("the configuration in force can't be read: {faults}"))
             })?,
             None => ConfigVersion(0),
--- a/crates/playhouse/src/commands/ledger.rs
+++ b/crates/playhouse/src/commands/ledger.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use consensus::{Members, Snapshot, What, Write, WriteNo};
-use control_state::{Command, Outcome, Script};
+use control_state::{Command, CommandOutcome, ControlState};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use storage::{Ledger, LedgerError, Opened};
@@ -75,7 +75,7 @@
 /// What a ledger holds, and the state after its last entry.
 struct Held {
     opened: Opened,
-    script: Script,
+    script: ControlState,
     /// Commands that can't be read, by their entries.
     unreadable: Vec<u64>,
     /// Commands that changed the state, and those that were refused when they were carried out.
@@ -143,19 +143,19 @@
     let store = DiskStore::open(&passing.0).map_err(LedgerError::from);
     let (_, opened) =
         store.and_then(|store| Ledger::open(store, RunId(0))).map_err(|error| damaged(dir, error))?;
-    let mut held = Held { opened, script: Script::new(), unreadable: Vec::new(), taken: 0, refused: 0 };
+    let mut held = Held { opened, script: ControlState::new(), unreadable: Vec::new(), taken: 0, refused: 0 };
     if let Some(snapshot) = &held.opened.saved.snapshot {
         let restored = held.script.restore(0, snapshot.index, &snapshot.data);
         restored.map_err(|error| damaged(dir, format!("snapshot {}: {error}", snapshot.index.0)))?;
     }
     for entry in &held.opened.saved.entries {
         let What::Command(data) = &entry.what else { continue };
-        if Command::from_bytes(data).is_none() {
+        if Command::decode(data).is_none() {
             held.unreadable.push(entry.index.0);
         }
         match held.script.apply(0, entry.index, data) {
-            Outcome::Taken => held.taken += 1,
-            beyond @ Outcome::Beyond { .. } => {
+            CommandOutcome::Applied => held.taken += 1,
+            beyond @ CommandOutcome::UnsupportedFormat { .. } => {
                 return Err(damaged(
                     dir,
                     format!("entry {}: {}", entry.index.0, crate::prompter::refusal(&beyond)),
@@ -202,7 +202,7 @@
             .map(|rollout| {
                 simd_json::json!({
                     "Service": rollout.service.clone(), "State": rollout.state.map(rollout_state),
-                    "CurrentVersion": rollout.current.clone(), "TargetVersion": rollout.target.clone(),
+                    "CurrentVersion": rollout.current_version.clone(), "TargetVersion": rollout.target_version.clone(),
                 })
             })
             .collect();
@@ -220,8 +220,8 @@
             "Refused": self.refused,
             "Unreadable": self.unreadable.clone(),
             "Voters": voters,
-            "ConfigVersion": self.script.version().to_string(),
-            "AgreedForm": self.script.agreed().0,
+            "ConfigVersion": self.script.configuration_version().to_string(),
+            "AgreedForm": self.script.agreed_format().0,
             "Rollouts": rollouts,
         })
     }
@@ -284,9 +284,9 @@
         fs::write(&path, bytes).map_err(|error| Failed::File { path, error })
     };
     write("state.json", format!("{}\n", held.json().encode()).as_bytes())?;
-    let version = held.script.version();
-    if let Some(bill) = held.script.bill() {
-        write("configuration.json", &bill.text())?;
+    let version = held.script.configuration_version();
+    if let Some(bill) = held.script.configuration() {
+        write("configuration.json", &bill.to_json())?;
     }
     if json {
         return print_json(&simd_json::json!({
@@ -325,7 +325,7 @@
             let voter = voter.map(|seat| seat.to_string());
             return print_json(&simd_json::json!({
                 "Folder": to.display().to_string(), "Begun": voter.is_some(), "Voter": voter,
-                "ConfigVersion": held.script.version().to_string(), "Last": held.last().0,
+                "ConfigVersion": held.script.configuration_version().to_string(), "Last": held.last().0,
                 "LastTerm": held.last_term(), "Committed": held.opened.saved.committed.0,
             }));
         }
@@ -337,7 +337,7 @@
              lost: what {} had not heard of, perhaps changes that were acknowledged\n\
              also kept: entries after {}, perhaps never acknowledged\n\
              voters before: {}\n{}",
-            held.script.version(),
+            held.script.configuration_version(),
             held.script.rollouts.len(),
             held.last().0,
             held.last_term(),
--- a/crates/playhouse/src/commands/view.rs
+++ b/crates/playhouse/src/commands/view.rs
@@ -85,14 +85,14 @@
             "Name": house.own.name.clone(), "Place": seat.address.to_string(), "Life": life(seat.disk_id),
             "Program": house.own.edition.program.to_string(),
         },
-        "AgreedForm": house.script.agreed().0,
+        "AgreedForm": house.script.agreed_format().0,
         "WordsRefused": house.refused(),
         "Leads": book.leads(),
         "Leader": book.leader().map(|seat| seat.address.to_string()),
         "Term": book.term().0,
         "LogCommitted": book.committed().0,
-        "LogApplied": house.script.index().0,
-        "ConfigVersion": house.script.version().to_string(),
+        "LogApplied": house.script.last_applied().0,
+        "ConfigVersion": house.script.configuration_version().to_string(),
         "Disk": { "WaitsS": disk.waits.map(seconds), "Fails": disk.fails },
         "Voters": voters,
         "Members": members,
@@ -120,28 +120,28 @@
 }
 
 /// A roll-out's state as it is written in answers.
-pub fn rollout_state(state: control_state::State) -> &'static str {
+pub fn rollout_state(state: control_state::RolloutState) -> &'static str {
     match state {
-        control_state::State::InProgress => "in_progress",
-        control_state::State::Completed => "completed",
-        control_state::State::Reverted => "reverted",
+        control_state::RolloutState::InProgress => "in_progress",
+        control_state::RolloutState::Completed => "completed",
+        control_state::RolloutState::Reverted => "reverted",
     }
 }
 
 fn trial(control: &Control, now: Micros, rollout: &control_state::Rollout) -> OwnedValue {
     let votes = control.votes(now, &rollout.service).map(|votes| {
         simd_json::json!({
-            "On": votes.ons, "Back": votes.backs, "Trial": votes.trial, "TrialFailed": votes.failed,
-            "InService": votes.base, "InServiceFailed": votes.base_failed,
+            "On": votes.promote_votes, "Back": votes.roll_back_votes, "Trial": votes.trial_outcomes, "TrialFailed": votes.trial_failures,
+            "InService": votes.base_outcomes, "InServiceFailed": votes.base_failures,
         })
     });
     simd_json::json!({
         "Service": rollout.service.clone(),
         "State": rollout.state.map(rollout_state),
-        "CurrentVersion": rollout.current.clone(),
-        "TargetVersion": rollout.target.clone(),
+        "CurrentVersion": rollout.current_version.clone(),
+        "TargetVersion": rollout.target_version.clone(),
         "RolloutPeriodS": seconds(rollout.period),
-        "SinceS": seconds(now - rollout.since),
+        "SinceS": seconds(now - rollout.state_since),
         "Votes": votes,
     })
 }
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use consensus::{Effect, Entry, Event, Members, Message, Promptbook, Release, Saved, What, Write, WriteNo};
-use control_state::{Command, Count, Outcome};
+use control_state::{Command, CommandOutcome, VerdictTally};
 use intent::{Inspector, inspector};
 use membership::{Part, Standing};
 use registry::{Beat, InstanceId};
@@ -55,7 +55,7 @@
 /// How a call that waited is answered; one for each `In` with an ask, within `CALL_WAIT` if the driver ticks in time.
 #[derive(Debug)]
 pub enum Told {
-    Applied(Outcome),
+    Applied(CommandOutcome),
     ReadAt,
     /// Not by this node, or not in time: nothing is said of the order. `leader`: where to go, if it was heard lately.
     Refused {
@@ -95,7 +95,7 @@
     pub house: House,
     book: Promptbook,
     seat: VoterId,
-    count: Count,
+    count: VerdictTally,
     count_due: Micros,
     /// Which of the instances' changes were kept, when, and when the next are.
     kept: (u64, Micros),
@@ -130,13 +130,13 @@
         now: Micros,
     ) -> (Control, Vec<Out>) {
         house.cast.spread_within(spans.drain);
-        house.script.repeated_for(spans.ack);
+        house.script.set_acknowledgement_timeout(spans.ack);
         let (book, effects) = Promptbook::start(seat, first, saved, spans.book, seed, now);
         let mut control = Control {
             house,
             book,
             seat,
-            count: Count::new(spans.count.clone()),
+            count: VerdictTally::new(spans.count.clone()),
             count_due: now,
             kept: (0, now - MEMORY_EVERY),
             memory_due: Micros::MAX,
@@ -229,8 +229,8 @@
     }
 
     /// The foyers' votes on a service's trial, as they stand here.
-    pub fn votes(&self, now: Micros, service: &str) -> Option<control_state::Votes> {
-        self.count.votes(now, service)
+    pub fn votes(&self, now: Micros, service: &str) -> Option<control_state::VoteSummary> {
+        self.count.summary(now, service)
     }
 
     pub fn step(&mut self, now: Micros, event: In) -> Vec<Out> {
@@ -268,12 +268,12 @@
     /// Has a command ordered, or tells why it is not. A refusal, too, waits for proof of leadership: one that was
     /// deposed knows only an old version.
     fn order(&mut self, now: Micros, ask: CallId, command: Command) {
-        match self.house.script.check_at(now, &command) {
+        match self.house.script.check_as_leader(now, &command) {
             Ok(()) => {
                 self.wait(now, ask, false, None);
                 // Guards against a first configuration that comes before a leader's next look: all would be written in
                 // the old form for `AGREE_AFTER` then.
-                if self.book.leads() && self.house.script.bill().is_none() {
+                if self.book.leads() && self.house.script.configuration().is_none() {
                     self.agree(now);
                 }
                 self.log(now, Event::Propose { ask, data: self.written(now, &command) });
@@ -301,7 +301,7 @@
     fn read(&mut self, now: Micros, ask: CallId) {
         let refusal = self.waiting.get_mut(&ask).and_then(|waiting| waiting.refusal.take());
         let Some(command) = refusal else { return self.tell(ask, Told::ReadAt) };
-        match self.house.script.check_at(now, &command) {
+        match self.house.script.check_as_leader(now, &command) {
             Ok(()) => self.log(now, Event::Propose { ask, data: self.written(now, &command) }),
             Err(outcome) => self.tell(ask, Told::Applied(outcome)),
         }
@@ -435,7 +435,8 @@
             self.propose(now, &command);
         }
         let rollouts = &self.house.script.rollouts;
-        let known = |service: &str| rollouts.get(service).is_some_and(|rollout| rollout.current.is_some());
+        let known =
+            |service: &str| rollouts.get(service).is_some_and(|rollout| rollout.current_version.is_some());
         let records = self.house.cast.records();
         let unknown: Vec<(String, String)> = records
             .filter(|record| record.state == registry::State::InService && !known(&record.service))
@@ -455,14 +456,14 @@
     }
 
     fn written(&self, now: Micros, command: &Command) -> Vec<u8> {
-        self.house.script.written(now, command)
+        self.house.script.encode_command(now, command)
     }
 
     /// Has a newer form agreed once every voter and every node known reads it, and has for a while. Before the first
     /// configuration there is nothing that an older program could go on with: then it is agreed at once.
     fn agree(&mut self, now: Micros) {
-        let agreed = self.house.script.agreed();
-        let new = self.house.script.bill().is_none() && !self.commands_wait();
+        let agreed = self.house.script.agreed_format();
+        let new = self.house.script.configuration().is_none() && !self.commands_wait();
         let Some(form) = self.read_by_all().filter(|form| *form > agreed) else {
             self.may_agree = None;
             return;
@@ -479,7 +480,7 @@
         log::info!("all nodes known read form {form}: it is proposed");
         // Not again before this one can have been applied.
         self.may_agree = Some((form, now + AGREE_AGAIN));
-        self.propose(now, &Command::Agree { form });
+        self.propose(now, &Command::AgreeFormat { format: form });
     }
 
     /// Whether commands of this leader's log are not applied yet, but for what leaders tell of instances. Where none are,
@@ -487,7 +488,7 @@
     fn commands_wait(&self) -> bool {
         let (applied, last) = (self.book.committed().0, self.book.counted().0);
         let command = |entry: &Entry| match &entry.what {
-            What::Command(data) => !matches!(Command::from_bytes(data), Some(Command::Seen { .. })),
+            What::Command(data) => !matches!(Command::decode(data), Some(Command::Seen { .. })),
             What::Nothing | What::Members(_) => false,
         };
         (applied + 1..=last).any(|index| self.book.entry(LogIndex(index)).is_none_or(command))
@@ -512,7 +513,7 @@
     /// A node asks to be let into the core that can't read what is agreed: it is told so, and not heard.
     fn turned_away(&mut self, from: NodeAddress) -> bool {
         let Some(edition) = self.house.unfit(from).filter(|_| self.book.leads()) else { return false };
-        let agreed = self.house.script.agreed();
+        let agreed = self.house.script.agreed_format();
         if self.house.tells(from, Some(edition.formats.newest)) {
             log::warn!("{from} is not let in: it runs {edition}, and form {agreed} is agreed");
         }
@@ -541,12 +542,12 @@
                     self.applied += data.len() + 64;
                     self.house.committed(now, index, data, ask);
                     self.applied +=
-                        self.house.script.bill().map_or(0, |bill| bill.as_text().len() / READ_ANEW);
+                        self.house.script.configuration().map_or(0, |bill| bill.as_json().len() / READ_ANEW);
                     // Right here and not after the rest: so all nodes take snapshots after the same entries, and what
                     // one of them has begun to send another one can end.
                     if self.applied >= KEEP_AFTER {
                         self.applied = 0;
-                        kept = Some((self.house.script.index(), self.house.script.snapshot()));
+                        kept = Some((self.house.script.last_applied(), self.house.script.snapshot()));
                     }
                 }
                 Effect::Restore { index, data } => {
@@ -596,7 +597,7 @@
                 }
                 Happened::Book { from, message: Message::Knock } if self.turned_away(from.address) => {}
                 Happened::Book { from, message } => self.log(now, Event::Received { from, message }),
-                Happened::Vote { from, vote } => self.count.cast(now, from, vote),
+                Happened::Vote { from, vote } => self.count.record(now, from, vote),
                 Happened::Restored => self.inspect_intent(now),
                 Happened::Intent { from, word } => self.inspected(now, inspector::Event::Word { from, word }),
                 Happened::Instance(_) => {}
--- a/crates/playhouse/src/floor/desk.rs
+++ b/crates/playhouse/src/floor/desk.rs
@@ -7,16 +7,16 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use budgets::Purse;
-use configuration::{Bill, Kind};
-use control_state::{Rollout, Tally, Voice};
+use budgets::RetryBudget;
+use configuration::{Configuration, RouteKind};
+use control_state::{Rollout, RouteTally, VoteChoice};
 use garnetdoor::balance::Balancer;
 use garnetdoor::host::{
     AttemptNo, BuildNo, CellId, Condition, GatewayId, Host, MachineTypeId, ProfileId, Refusal, RequestId,
     RolloutPhase, RolloutStatus, ServerId, ServerInfo, Settings as Given, StageNo, TimerKind, Vote, ZoneId,
 };
 use indexmap::IndexMap;
-use load::{Bounds, Fleet, Profiles, Share, VOTE_LIFE};
+use load::{BudgetLimits, ConnectionShare, Fleet, RouteProfiles, VOTE_LIFETIME};
 use registry::{InstanceId, State};
 use types::Micros;
 
@@ -40,7 +40,7 @@
     now: Rc<Cell<Micros>>,
     judged: Rc<RefCell<Judged>>,
     asked: Rc<RefCell<VecDeque<Do>>>,
-    purse: Rc<RefCell<Purse>>,
+    purse: Rc<RefCell<RetryBudget>>,
     service: Rc<str>,
     room: Rc<RefCell<Room>>,
 }
@@ -49,7 +49,7 @@
 struct Room {
     /// By the instances' numbers.
     at: Vec<Reach>,
-    share: Share,
+    share: ConnectionShare,
 }
 
 /// How much may go to one of them.
@@ -100,11 +100,11 @@
     fn close_idle_connections(&mut self, _server: ServerId) {}
     fn has_capacity(&self, _ticket: RequestId, server: ServerId, _build: BuildNo) -> bool {
         let room = self.room.borrow();
-        let may = |at: &Reach| at.mine && !at.spared && at.out < room.share.connections;
+        let may = |at: &Reach| at.mine && !at.spared && at.out < room.share.connections_per_gateway;
         room.at.get(server.0 as usize).is_some_and(may)
     }
     fn has_retry_budget(&self) -> bool {
-        self.purse.borrow_mut().may_known(self.now.get(), &self.service)
+        self.purse.borrow_mut().may_retry_now(self.now.get(), &self.service)
     }
     fn outcome_judged(&mut self, build: BuildNo, profile: ProfileId, failed: bool) {
         let mut judged = self.judged.borrow_mut();
@@ -143,12 +143,12 @@
     pub service: Rc<str>,
     given: Given,
     /// What the settings were worked out from: all but the profiles' numbers, which follow.
-    from: (Arc<Bill>, Fleet, bool),
+    from: (Arc<Configuration>, Fleet, bool),
     servers: IndexMap<InstanceId, Seen>,
     /// What the decisions were told of each, by number.
     listed: Vec<ServerInfo>,
-    profiles: Profiles,
-    bounds: Bounds,
+    profiles: RouteProfiles,
+    bounds: BudgetLimits,
     told: Option<(u32, RolloutPhase)>,
     /// The trial that is known, and the last vote on it, with its moment.
     trial: Option<Trial>,
@@ -164,13 +164,13 @@
 impl Desk {
     /// `now` is the time, set by whoever drives the desk; `seed` moves what the decisions leave to chance.
     pub fn start(
-        service: &str, now: Rc<Cell<Micros>>, bounds: Bounds, purse: Rc<RefCell<Purse>>, bill: &Arc<Bill>,
-        fleet: &Fleet, seed: u64,
+        service: &str, now: Rc<Cell<Micros>>, bounds: BudgetLimits, purse: Rc<RefCell<RetryBudget>>,
+        bill: &Arc<Configuration>, fleet: &Fleet, seed: u64,
     ) -> Desk {
         let asked = Rc::new(RefCell::new(VecDeque::new()));
         let judged: Rc<RefCell<Judged>> = Rc::default();
         // No connection to any instance before the share is told.
-        let share = Share { gateways: 0, connections: 0 };
+        let share = ConnectionShare { max_gateways: 0, connections_per_gateway: 0 };
         let room = Rc::new(RefCell::new(Room { at: Vec::new(), share }));
         let hand = Hand {
             now: now.clone(),
@@ -180,8 +180,8 @@
             service: service.into(),
             room: room.clone(),
         };
-        let mut profiles = Profiles::default();
-        let given = load::settings(service, &bounds, bill, fleet, false, &mut profiles);
+        let mut profiles = RouteProfiles::default();
+        let given = load::balancer_settings(service, &bounds, bill, fleet, false, &mut profiles);
         Desk {
             now,
             balance: Balancer::start(hand, seed, given.clone()),
@@ -204,21 +204,22 @@
     }
 
     /// The configuration, or what is known of the fleet, has changed.
-    pub fn bill_changed(&mut self, bill: &Arc<Bill>, fleet: &Fleet, settled: bool) {
+    pub fn bill_changed(&mut self, bill: &Arc<Configuration>, fleet: &Fleet, settled: bool) {
         let (known, of, was) = &self.from;
         if Arc::ptr_eq(known, bill) && of == fleet && *was == settled {
             return;
         }
         self.from = (bill.clone(), fleet.clone(), settled);
-        let given = load::settings(&self.service, &self.bounds, bill, fleet, settled, &mut self.profiles);
+        let given =
+            load::balancer_settings(&self.service, &self.bounds, bill, fleet, settled, &mut self.profiles);
         if given != self.given {
             self.given = given.clone();
             self.balance.settings_changed(given);
         }
     }
 
-    pub fn profile(&self, route: &str, kind: Kind) -> Option<ProfileId> {
-        self.profiles.number(route, kind).map(ProfileId)
+    pub fn profile(&self, route: &str, kind: RouteKind) -> Option<ProfileId> {
+        self.profiles.profile_id(route, kind).map(ProfileId)
     }
 
     pub fn server(&self, server: ServerId) -> Option<&Seen> {
@@ -248,7 +249,7 @@
         let healthy = |at: &usize| self.listed[*at].condition == Condition::Healthy;
         let numbers: Vec<usize> = (0..self.listed.len()).filter(healthy).collect();
         let before: Vec<usize> = numbers.iter().map(|at| room.at[*at].before).collect();
-        let usable = room.share.usable(&before);
+        let usable = room.share.usable_instances(&before);
         for (number, usable) in numbers.into_iter().zip(usable) {
             room.at[number].mine = usable;
         }
@@ -265,7 +266,7 @@
         };
         let numbers: Vec<usize> = (0..self.listed.len()).filter(of).collect();
         let names: Vec<&str> = numbers.iter().map(|at| &*self.servers[*at].id.0).collect();
-        let tried = load::tried(trial.cap, &names);
+        let tried = load::loaded_instances(trial.cap, &names);
         for (number, tried) in numbers.into_iter().zip(tried) {
             room.at[number].spared = !tried;
         }
@@ -275,7 +276,7 @@
     fn instance(
         &mut self, known: &registry::Known, rollout: Option<&Rollout>, before: usize,
     ) -> Option<ServerInfo> {
-        let build = rollout.and_then(|rollout| rollout.build_of(&known.version));
+        let build = rollout.and_then(|rollout| rollout.build_number_of(&known.version));
         let condition = match (build, known.state) {
             (Some(_), State::InService) => Condition::Healthy,
             (Some(_), State::Draining) => Condition::Draining,
@@ -312,7 +313,7 @@
     }
 
     /// How many foyers may use each instance, and how many connections each of them.
-    pub fn share(&mut self, share: Share) {
+    pub fn share(&mut self, share: ConnectionShare) {
         let mut room = self.room.borrow_mut();
         self.reach_changed |= std::mem::replace(&mut room.share, share) != share;
     }
@@ -328,23 +329,23 @@
     pub fn rollout(&mut self, now: Micros, cap: f64, rollout: &Rollout) {
         let phase = match rollout.state {
             None => return,
-            Some(control_state::State::InProgress) => RolloutPhase::InTrial,
-            Some(control_state::State::Completed) => RolloutPhase::Released,
-            Some(control_state::State::Reverted) => RolloutPhase::RolledBack,
+            Some(control_state::RolloutState::InProgress) => RolloutPhase::InTrial,
+            Some(control_state::RolloutState::Completed) => RolloutPhase::Released,
+            Some(control_state::RolloutState::Reverted) => RolloutPhase::RolledBack,
         };
-        let (number, since) = (rollout.number, rollout.since);
-        self.trial = rollout.in_progress().then_some(Trial { number, since, cap });
+        let (number, since) = (rollout.build_number, rollout.state_since);
+        self.trial = rollout.is_in_progress().then_some(Trial { number, since, cap });
         self.load_trial();
-        if self.told != Some((rollout.number, phase)) {
+        if self.told != Some((rollout.build_number, phase)) {
             // Older builds than the last say nothing of any to come.
-            self.judged.borrow_mut().retain(|(build, _), _| build.0 + 2 >= rollout.number);
-            self.told = Some((rollout.number, phase));
+            self.judged.borrow_mut().retain(|(build, _), _| build.0 + 2 >= rollout.build_number);
+            self.told = Some((rollout.build_number, phase));
             self.balance.rollout_updated(RolloutStatus {
-                build: BuildNo(rollout.number),
+                build: BuildNo(rollout.build_number),
                 stage: StageNo(0),
                 phase,
                 exposure_cap: cap,
-                age: now - rollout.since,
+                age: now - rollout.state_since,
             });
         }
     }
@@ -360,40 +361,45 @@
     pub fn vote(&self, now: Micros) -> Option<control_state::Vote> {
         let Trial { number, since, .. } = *self.trial.as_ref()?;
         let back = self.voted.is_some_and(|(build, vote, at)| {
-            build == number && vote == Vote::RollBack && now - at <= VOTE_LIFE
+            build == number && vote == Vote::RollBack && now - at <= VOTE_LIFETIME
         });
         let on = self.voted.is_some_and(|(build, vote, _)| build == number && vote == Vote::Promote);
         let voice = match (back, on) {
-            (true, _) => Voice::Back,
-            (_, true) => Voice::On,
-            _ => Voice::Wait,
+            (true, _) => VoteChoice::RollBack,
+            (_, true) => VoteChoice::Promote,
+            _ => VoteChoice::Abstain,
         };
         let (service, age) = (self.service.to_string(), now - since);
         let mut vote = control_state::Vote {
             service,
-            number,
-            voice,
-            trial: 0,
-            failed: 0,
-            base: 0,
-            base_failed: 0,
-            age,
+            build_number: number,
+            choice: voice,
+            trial_outcomes: 0,
+            trial_failures: 0,
+            base_outcomes: 0,
+            base_failures: 0,
+            order_age: age,
             routes: Vec::new(),
         };
-        let mut routes: IndexMap<usize, Tally> = IndexMap::new();
+        let mut routes: IndexMap<usize, RouteTally> = IndexMap::new();
         for ((build, profile), (count, failed)) in self.judged.borrow().iter() {
-            let Some(name) = self.profiles.route(profile.0) else { continue };
-            let fresh = || Tally { route: named(name), ..Tally::default() };
+            let Some(name) = self.profiles.route_name(profile.0) else { continue };
+            let fresh = || RouteTally { route: named(name), ..RouteTally::default() };
             let tally = routes.entry(profile.0).or_insert_with(fresh);
             if build.0 == number {
-                (tally.trial, tally.failed) = (tally.trial + count, tally.failed + failed);
-                (vote.trial, vote.failed) = (vote.trial + count, vote.failed + failed);
+                (tally.trial_outcomes, tally.trial_failures) =
+                    (tally.trial_outcomes + count, tally.trial_failures + failed);
+                (vote.trial_outcomes, vote.trial_failures) =
+                    (vote.trial_outcomes + count, vote.trial_failures + failed);
             } else if build.0 < number {
-                (tally.base, tally.base_failed) = (tally.base + count, tally.base_failed + failed);
-                (vote.base, vote.base_failed) = (vote.base + count, vote.base_failed + failed);
+                (tally.base_outcomes, tally.base_failures) =
+                    (tally.base_outcomes + count, tally.base_failures + failed);
+                (vote.base_outcomes, vote.base_failures) =
+                    (vote.base_outcomes + count, vote.base_failures + failed);
             }
         }
-        vote.routes = routes.into_values().filter(|tally| tally.trial > 0).take(ROUTES_MOST).collect();
+        vote.routes =
+            routes.into_values().filter(|tally| tally.trial_outcomes > 0).take(ROUTES_MOST).collect();
         Some(vote)
     }
 }
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use configuration::{Bill, Kind};
+use configuration::{Configuration, RouteKind};
 use garnetdoor::host::{
     Arrival, AttemptNo, AttemptOutcome, RequestId, ServerId, TimerKind, Vote, VoteResult,
 };
@@ -20,10 +20,10 @@
 
 use crate::house::{Happened, House, Letter, Word};
 use crate::settings::{Settings, micros};
-use budgets::{Party, Purse};
-use control_state::Outcome;
+use budgets::{GatewayCounts, RetryBudget};
+use control_state::CommandOutcome;
 use desk::{Desk, Do, Seen};
-use load::{Bounds, Fleet, Share};
+use load::{BudgetLimits, ConnectionShare, Fleet};
 
 const VOTES_EVERY: Micros = SECOND;
 /// A foyer that knows instances of some services opens after this without the others: two beats are under it.
@@ -51,7 +51,7 @@
         ticket: RequestId,
         service: &'a str,
         route: &'a str,
-        kind: Kind,
+        kind: RouteKind,
         left: Micros,
     },
     /// A trip has ended; `over`: the ticket has its answer.
@@ -114,7 +114,7 @@
     pub house: House,
     now: Rc<Cell<Micros>>,
     settings: Rc<Settings>,
-    bill: Option<Arc<Bill>>,
+    bill: Option<Arc<Configuration>>,
     desks: IndexMap<Rc<str>, Desk>,
     wakes: BinaryHeap<Reverse<(Micros, u64)>>,
     waking: HashMap<u64, (Rc<str>, TimerKind)>,
@@ -123,10 +123,10 @@
     fleet: Fleet,
     /// All foyers that are up, this one too, in order.
     foyers: Vec<NodeAddress>,
-    bounds: Bounds,
-    purse: Rc<RefCell<Purse>>,
+    bounds: BudgetLimits,
+    purse: Rc<RefCell<RetryBudget>>,
     /// How many foyers were known over time, for this one's part of what is shared.
-    party: Party,
+    party: GatewayCounts,
     began: Micros,
     votes_due: Micros,
     /// When foyers that came or went are to count, where some did.
@@ -152,7 +152,7 @@
     pub fn start(mut house: House, settings: Rc<Settings>, seed: u64, now: Micros) -> Floor {
         house.cast.spread_within(micros(settings.timer_bounds.drain_s));
         let bounds = &settings.timer_bounds;
-        let bounds = Bounds {
+        let bounds = BudgetLimits {
             retry_ratio: bounds.retry_budget_ratio,
             retry_slack: bounds.retry_budget_slack,
             retry_window: micros(bounds.retry_window_s),
@@ -160,7 +160,7 @@
         };
         let zones: Vec<String> = settings.zones.keys().cloned().collect();
         let zone = zones.iter().position(|zone| *zone == settings.zone).unwrap_or(0);
-        let purse = Purse::new(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window);
+        let purse = RetryBudget::new(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window);
         Floor {
             house,
             now: Rc::new(Cell::new(now)),
@@ -171,11 +171,18 @@
             waking: HashMap::new(),
             next_wake: 0,
             open: BTreeMap::new(),
-            fleet: Fleet { gateways: 1, index: 0, warmup: 0, zones, zone, part: 0.0 },
+            fleet: Fleet {
+                gateways: 1,
+                gateway_index: 0,
+                longest_warmup: 0,
+                zones,
+                own_zone: zone,
+                budget_share: 0.0,
+            },
             foyers: vec![],
             bounds,
             purse: Rc::new(RefCell::new(purse)),
-            party: Party::default(),
+            party: GatewayCounts::default(),
             began: now,
             votes_due: now,
             peers_due: Micros::MAX,
@@ -192,7 +199,7 @@
         }
     }
 
-    pub fn bill(&self) -> Option<&Arc<Bill>> {
+    pub fn bill(&self) -> Option<&Arc<Configuration>> {
         self.bill.as_ref()
     }
 
@@ -228,12 +235,12 @@
             "Program": self.house.own.edition.program.to_string(),
             "OldestForm": self.house.own.edition.formats.oldest.0,
             "NewestForm": self.house.own.edition.formats.newest.0,
-            "AgreedForm": self.house.script.agreed().0,
+            "AgreedForm": self.house.script.agreed_format().0,
             "WordsRefused": self.house.refused(),
             "Ready": self.ready(),
             "NotReadyFor": why,
             "ConfigVersion": self.bill.as_ref().map(|bill| bill.version.to_string()),
-            "LogIndex": self.house.script.index().0,
+            "LogIndex": self.house.script.last_applied().0,
             "Prompters": self.house.up(Part::Prompter).len() as u64,
             "Foyers": self.foyers.len() as u64,
             "RequestsInHand": self.open.len() as u64,
@@ -335,7 +342,9 @@
         let (mut changed, mut told) = (false, false);
         while let Some(happened) = self.house.happened() {
             match happened {
-                Happened::Applied { outcome: Outcome::Taken, .. } | Happened::Restored => changed = true,
+                Happened::Applied { outcome: CommandOutcome::Applied, .. } | Happened::Restored => {
+                    changed = true
+                }
                 // What was refused changes nothing, but the index goes on.
                 Happened::Applied { .. } => told = true,
                 Happened::Peers => {
@@ -364,8 +373,8 @@
     /// there is no configuration to work it out from.
     fn peers_changed(&mut self, now: Micros) -> bool {
         let foyers = self.house.up(Part::Foyer).len() + 1;
-        self.party.note(now, foyers);
-        self.purse.borrow_mut().foyers(now, foyers);
+        self.party.record(now, foyers);
+        self.purse.borrow_mut().set_gateway_count(now, foyers);
         if self.bill.is_some() {
             self.peers_due = self.peers_due.min(now + PEERS_GATHER);
         }
@@ -379,12 +388,12 @@
         foyers.push(self.house.own.place);
         foyers.sort_unstable();
         let index = foyers.iter().position(|place| *place == self.house.own.place).unwrap_or(0);
-        (self.fleet.gateways, self.fleet.index) = (foyers.len(), index);
+        (self.fleet.gateways, self.fleet.gateway_index) = (foyers.len(), index);
         self.foyers.clone_from(&foyers);
-        self.party.note(now, foyers.len());
-        self.fleet.part = self.party.part(now, 1.0);
-        self.purse.borrow_mut().foyers(now, foyers.len());
-        self.bill = self.house.script.bill().cloned();
+        self.party.record(now, foyers.len());
+        self.fleet.budget_share = self.party.share_of(now, 1.0);
+        self.purse.borrow_mut().set_gateway_count(now, foyers.len());
+        self.bill = self.house.script.configuration().cloned();
         let Some(bill) = self.bill.clone() else { return };
         let cap = self.settings.timer_bounds.exposure_share;
         for service in bill.services.keys() {
@@ -398,13 +407,13 @@
         for service in self.desks.keys().cloned().collect::<Vec<_>>() {
             let Some(desk) = self.desks.get_mut(&service) else { continue };
             let rollout = self.house.script.rollouts.get(&*service);
-            let settled = rollout.is_some_and(|rollout| rollout.since - self.began >= SETTLED);
+            let settled = rollout.is_some_and(|rollout| rollout.state_since - self.began >= SETTLED);
             desk.bill_changed(&bill, &self.fleet, settled);
             let share = share(Some(&bill), &service, foyers.len());
             desk.share(share);
             let known = self.house.cast.records().filter(|known| *known.service == *service);
             let own = self.house.own.place;
-            let known = known.map(|known| (known, share.before(own, &foyers, &known.id.0)));
+            let known = known.map(|known| (known, share.gateways_ahead(own, &foyers, &known.id.0)));
             desk.instances(known, rollout);
             if let Some(rollout) = rollout {
                 desk.rollout(now, cap, rollout);
@@ -431,7 +440,7 @@
     /// Read back from what requests are handled by.
     fn tables(&self) -> Option<Arc<Intent>> {
         let script = &self.house.script;
-        Some(Arc::new(Intent::read(script.index(), self.bill.as_ref()?, script.rollouts.values())))
+        Some(Arc::new(Intent::read(script.last_applied(), self.bill.as_ref()?, script.rollouts.values())))
     }
 
     fn ushered(&mut self, now: Micros, event: usher::Event) {
@@ -459,34 +468,34 @@
     fn instance(&mut self, id: &registry::InstanceId) {
         let Some(known) = self.house.cast.get(id) else { return };
         let warmup = known.slow_until - known.first_seen;
-        if warmup > self.fleet.warmup {
-            self.fleet.warmup = warmup.min(60 * SECOND);
+        if warmup > self.fleet.longest_warmup {
+            self.fleet.longest_warmup = warmup.min(60 * SECOND);
         }
         let Some(desk) = self.desks.get_mut(known.service.as_str()) else { return };
         let share = share(self.bill.as_deref(), &known.service, self.foyers.len());
-        let before = share.before(self.house.own.place, &self.foyers, &known.id.0);
+        let before = share.gateways_ahead(self.house.own.place, &self.foyers, &known.id.0);
         desk.instances([(known, before)].into_iter(), self.house.script.rollouts.get(&known.service));
         let service = desk.service.clone();
         self.decide(&service, |_| {});
     }
 
     /// A ticket of a service or route that is not here any more is turned back: it has not run.
-    fn came(&mut self, ticket: RequestId, service: &str, route: &str, kind: Kind, left: Micros) {
+    fn came(&mut self, ticket: RequestId, service: &str, route: &str, kind: RouteKind, left: Micros) {
         let found =
             self.desks.get(service).and_then(|desk| Some((desk.service.clone(), desk.profile(route, kind)?)));
         let Some((service, profile)) = found else {
-            let wait = Some(load::come_back(left));
+            let wait = Some(load::retry_after(left));
             self.count_refusal(UNKNOWN_SERVICE);
             return self.out.push(Out::TurnBack { ticket, wait });
         };
         self.open.insert(ticket, Open { service: service.clone(), out: Vec::new() });
-        self.purse.borrow_mut().request(self.now.get(), &service);
+        self.purse.borrow_mut().record_request(self.now.get(), &service);
         let arrival = Arrival {
             profile,
             cost: None,
             key: None,
             time_left: left,
-            writes: kind != Kind::Safe,
+            writes: kind != RouteKind::Safe,
             is_retry: false,
             party: None,
         };
@@ -580,10 +589,10 @@
             return;
         };
         desk.out(server, true);
-        let connections = share(self.bill.as_deref(), service, self.fleet.gateways).connections;
+        let connections = share(self.bill.as_deref(), service, self.fleet.gateways).connections_per_gateway;
         let trip = AttemptNo(open.out.len() as u32);
         if trip.0 > 0 {
-            self.purse.borrow_mut().spent(self.now.get(), service);
+            self.purse.borrow_mut().record_retry(self.now.get(), service);
         }
         open.out.push(Some(server));
         self.out.push(Out::Trip { ticket, trip, to, until, connections });
@@ -605,7 +614,7 @@
 }
 
 /// What each foyer may use of a service's instances; one connection where the configuration has no such service.
-fn share(bill: Option<&Bill>, service: &str, foyers: usize) -> Share {
+fn share(bill: Option<&Configuration>, service: &str, foyers: usize) -> ConnectionShare {
     let accepts = bill.and_then(|bill| bill.services.get(service)).map_or(1, |found| found.max_connections);
-    Share::of(accepts, foyers)
+    ConnectionShare::new(accepts, foyers)
 }
--- a/crates/playhouse/src/foyer/front.rs
+++ b/crates/playhouse/src/foyer/front.rs
@@ -72,8 +72,8 @@
         let foyer = shared.borrow();
         (foyer.clock, foyer.floor.bill().map(|bill| bill.limits))
     };
-    let (head, idle) = limits.map_or(UNTOLD, |limits| (limits.header_time, limits.idle_time));
-    let header_bytes = limits.map_or(HEADER_BYTES, |limits| limits.header_bytes);
+    let (head, idle) = limits.map_or(UNTOLD, |limits| (limits.header_timeout, limits.idle_timeout));
+    let header_bytes = limits.map_or(HEADER_BYTES, |limits| limits.max_header_bytes);
     let service = hyper::service::service_fn(|request| {
         let (shared, watch) = (shared.clone(), watch.clone());
         watch.served(false);
@@ -248,14 +248,14 @@
     let told = head.headers.get(REMAINING_TIME).and_then(|value| value.to_str().ok());
     let told = told.and_then(|text| text.trim().parse::<f64>().ok()).filter(|left| left.is_finite());
     let told = told.map(|ms| (ms.clamp(0.0, 1e9) * 1e3) as Micros);
-    let Some(bill) = bill else { return turned_back(Some(load::come_back(told.unwrap_or(SECOND)))) };
+    let Some(bill) = bill else { return turned_back(Some(load::retry_after(told.unwrap_or(SECOND)))) };
     let host = head.headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
-    let Some(route) = bill.route(host, head.uri.path()) else {
+    let Some(route) = bill.find_route(host, head.uri.path()) else {
         return plain(StatusCode::NOT_FOUND, "{\"Error\":\"no route\"}");
     };
     let left = told.unwrap_or(route.timeout).min(route.timeout);
     let until = came + left;
-    let most = bill.limits.body_bytes;
+    let most = bill.limits.max_body_bytes;
     if body.size_hint().lower() > most {
         return plain(StatusCode::PAYLOAD_TOO_LARGE, OVER);
     }
@@ -298,9 +298,9 @@
         stream: RefCell::new(stream),
         streams,
         been: RefCell::default(),
-        repeats: route.kind.may_repeat(),
+        repeats: route.kind.is_idempotent(),
     };
-    let Some(service) = pick(route) else { return turned_back(Some(load::come_back(left))) };
+    let Some(service) = pick(route) else { return turned_back(Some(load::retry_after(left))) };
     let (id, told) = shared.borrow_mut().came(shared, service, route, asked, until);
     let _here = Here { shared: shared.clone(), id };
     match told.await {
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
 
-use control_state::{Broken, Outcome, Script};
+use control_state::{CommandOutcome, ControlState, SnapshotError};
 use membership::{Company, Member, Part, Standing};
 use registry::Cast;
 use replication::Replicator;
@@ -101,7 +101,7 @@
     /// A command was applied; the outcome is everywhere the same.
     Applied {
         index: LogIndex,
-        outcome: Outcome,
+        outcome: CommandOutcome,
         ask: Option<CallId>,
     },
     /// The state was replaced by a whole newer one.
@@ -165,7 +165,7 @@
     pub company: Company,
     pub board: Replicator,
     pub cast: Cast,
-    pub script: Script,
+    pub script: ControlState,
     unreadable: Option<Unreadable>,
     /// By what words of the board and of the cast and votes go; others are for a datagram, or their length says it.
     paths: Paths,
@@ -205,7 +205,7 @@
         let (company, effects) = Company::start(own.clone(), seeds, membership::Timing::usual(), seed, now);
         let board = Replicator::start(own.place, mode, LogIndex(0), seed ^ 1, now);
         let cast = Cast::start(own.place, registry::Timing::of_heartbeat(beat), seed ^ 2, now);
-        let script = Script::reading(own.edition.formats);
+        let script = ControlState::supporting(own.edition.formats);
         let mut house = House {
             own,
             company,
@@ -257,7 +257,7 @@
 
     /// The instances, to be remembered: a byte 0, the form that is agreed, the list.
     pub fn memory(&self, now: Micros) -> Vec<u8> {
-        let head = vec![0, self.script.agreed().0];
+        let head = vec![0, self.script.agreed_format().0];
         // Plain types into a growing vector: this fails only where a type can't be written at all.
         postcard::to_extend(&self.cast.memory(now), head).expect("a type that postcard can't write")
     }
@@ -315,7 +315,7 @@
     }
 
     /// A word as it goes to a node, in the form that both read. None: the word is of a newer form than that, and
-    /// is not sent; who says it must not count on it before all known nodes read it (`Script::agreed`).
+    /// is not sent; who says it must not count on it before all known nodes read it (`ControlState::agreed`).
     pub fn letter(&self, to: NodeAddress, word: Word) -> Option<Letter> {
         let form = self.shared(to);
         let carrier = match word {
@@ -345,7 +345,7 @@
     /// The node at a place, where it is known not to read the form that is agreed.
     pub fn unfit(&self, place: NodeAddress) -> Option<NodeVersion> {
         let edition = self.company.member(place)?.edition;
-        (!edition.formats.contains(self.script.agreed())).then_some(edition)
+        (!edition.formats.contains(self.script.agreed_format())).then_some(edition)
     }
 
     /// Whether a word of this form from there is to be told of: once, until one came that can be read.
@@ -399,8 +399,8 @@
 
     /// What is ordered, as far as it has come here; none before the first configuration.
     pub fn intent(&self) -> Option<intent::Intent> {
-        let bill = self.script.bill()?;
-        Some(intent::Intent::read(self.script.index(), bill, self.script.rollouts.values()))
+        let bill = self.script.configuration()?;
+        Some(intent::Intent::read(self.script.last_applied(), bill, self.script.rollouts.values()))
     }
 
     /// The nodes of one part that are up, without this one.
@@ -567,7 +567,7 @@
             Word::Intent(word) => self.happened.push_back(Happened::Intent { from, word }),
             Word::NotLetIn { agreed } if !self.own.edition.formats.contains(agreed) => {
                 let why = format!("form {agreed} is agreed, this is {}", self.own.edition);
-                self.give_up(self.script.index(), why);
+                self.give_up(self.script.last_applied(), why);
             }
             // This process reads it: the one before it here was meant.
             Word::NotLetIn { .. } => {}
@@ -614,16 +614,16 @@
         if self.unreadable.is_some() {
             return;
         }
-        let agreed = self.script.agreed();
+        let agreed = self.script.agreed_format();
         self.applied_at = now;
         let outcome = self.script.apply(now, index, data);
-        if self.script.agreed() != agreed {
-            log::info!("form {} is agreed", self.script.agreed());
+        if self.script.agreed_format() != agreed {
+            log::info!("form {} is agreed", self.script.agreed_format());
         }
-        if let Outcome::Beyond { form } = outcome {
+        if let CommandOutcome::UnsupportedFormat { format: form } = outcome {
             return self.give_up(index, format!("form {form} is agreed, this is {}", self.own.edition));
         }
-        self.not_taken += u64::from(outcome != Outcome::Taken);
+        self.not_taken += u64::from(outcome != CommandOutcome::Applied);
         self.happened.push_back(Happened::Applied { index, outcome, ask });
     }
 
@@ -637,7 +637,7 @@
                 self.happened.push_back(Happened::Restored);
             }
             // What is here is newer; nothing is lacking.
-            Err(error @ Broken::Older { .. }) => log::warn!("a state is passed over: {error}"),
+            Err(error @ SnapshotError::Older { .. }) => log::warn!("a state is passed over: {error}"),
             Err(error) => self.give_up(index, format!("{error}; this is {}", self.own.edition)),
         }
     }
@@ -702,7 +702,7 @@
                 replication::Effect::Apply { index, data } => self.apply(now, index, &data, None),
                 replication::Effect::Restore { index, data } => self.restore(now, index, &data),
                 replication::Effect::NeedWhole => {
-                    let (index, data) = (self.script.index(), self.script.snapshot());
+                    let (index, data) = (self.script.last_applied(), self.script.snapshot());
                     let effects = self.board.step(now, replication::Event::Kept { index, data });
                     self.board_did(now, effects);
                 }
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use consensus::{Members, Saved};
-use control_state::{Command, Outcome};
+use control_state::{Command, CommandOutcome};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode, header};
@@ -319,7 +319,7 @@
 
 /// One fault of what was sent, as all faults are told.
 fn faults(place: &str, text: &str) -> Answer {
-    reply(StatusCode::BAD_REQUEST, configuration::Faults::one(place, text).to_json())
+    reply(StatusCode::BAD_REQUEST, configuration::Faults::single(place, text).to_json())
 }
 
 fn unavailable(text: &str) -> Answer {
@@ -359,11 +359,11 @@
         }
         Call::Initiate => {
             let (service, target, period) = calls::initiate(body)?;
-            order(shared, Command::Rollout { service, target, period }, head).await
+            order(shared, Command::Rollout { service, target_version: target, period }, head).await
         }
         Call::Retrieve => match proved(shared, head).await {
-            Ok(()) => match shared.borrow().control.house.script.bill() {
-                Some(bill) => reply(StatusCode::OK, bill.text()),
+            Ok(()) => match shared.borrow().control.house.script.configuration() {
+                Some(bill) => reply(StatusCode::OK, bill.to_json()),
                 None => fault(StatusCode::NOT_FOUND, "no configuration has been taken yet"),
             },
             Err(answer) => answer,
@@ -390,17 +390,17 @@
     })
 }
 
-fn rollout(script: &control_state::Script, service: &str) -> Answer {
+fn rollout(script: &control_state::ControlState, service: &str) -> Answer {
     let found = script.rollouts.get(service).and_then(|rollout| Some((rollout, rollout.state?)));
     let Some((rollout, state)) = found else {
         return fault(StatusCode::NOT_FOUND, "no roll-out of this service");
     };
     let state = match state {
-        control_state::State::InProgress => "in_progress",
-        control_state::State::Completed => "completed",
-        control_state::State::Reverted => "reverted",
+        control_state::RolloutState::InProgress => "in_progress",
+        control_state::RolloutState::Completed => "completed",
+        control_state::RolloutState::Reverted => "reverted",
     };
-    let value = simd_json::json!({ "State": state, "TargetVersion": rollout.target.clone() });
+    let value = simd_json::json!({ "State": state, "TargetVersion": rollout.target_version.clone() });
     reply(StatusCode::OK, value.encode())
 }
 
@@ -459,15 +459,15 @@
     }
 }
 
-fn ordered(outcome: Outcome) -> Answer {
-    let status = StatusCode::from_u16(outcome.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+fn ordered(outcome: CommandOutcome) -> Answer {
+    let status = StatusCode::from_u16(outcome.http_status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     if status.is_success() {
         return reply(status, "{}");
     }
-    if let Outcome::Invalid(faults) = &outcome {
+    if let CommandOutcome::Invalid(faults) = &outcome {
         return reply(status, faults.to_json());
     }
-    if let Outcome::Raced { current } = &outcome {
+    if let CommandOutcome::VersionConflict { current } = &outcome {
         let value = simd_json::json!({ "ConfigVersion": current.to_string() });
         return reply(status, value.encode());
     }
@@ -475,12 +475,17 @@
 }
 
 /// What a refusal says to a person.
-pub(crate) fn refusal(outcome: &Outcome) -> String {
+pub(crate) fn refusal(outcome: &CommandOutcome) -> String {
     match outcome {
-        Outcome::Conflict(text) | Outcome::Unknown(text) => text.clone(),
-        Outcome::Unreadable => "no command of ours".to_owned(),
-        Outcome::Beyond { form } => format!("form {form} is agreed, which this program does not read"),
-        Outcome::Old => "the state has passed this by; ask again".to_owned(),
-        Outcome::Taken | Outcome::Again | Outcome::Invalid(_) | Outcome::Raced { .. } => String::new(),
+        CommandOutcome::Conflict(text) | CommandOutcome::UnknownService(text) => text.clone(),
+        CommandOutcome::Unreadable => "no command of ours".to_owned(),
+        CommandOutcome::UnsupportedFormat { format: form } => {
+            format!("form {form} is agreed, which this program does not read")
+        }
+        CommandOutcome::AlreadyApplied => "the state has passed this by; ask again".to_owned(),
+        CommandOutcome::Applied
+        | CommandOutcome::Repeated
+        | CommandOutcome::Invalid(_)
+        | CommandOutcome::VersionConflict { .. } => String::new(),
     }
 }
--- a/crates/playhouse/src/settings.rs
+++ b/crates/playhouse/src/settings.rs
@@ -147,7 +147,7 @@
     /// Of the ordered log.
     pub book: consensus::Timing,
     /// Of the votes on trials.
-    pub count: control_state::CountSettings,
+    pub count: control_state::VerdictSettings,
     /// `DrainS`.
     pub drain: Micros,
     /// `AckS`.
@@ -184,12 +184,12 @@
             },
             piece: 256 << 10,
         };
-        let usual = control_state::CountSettings::default();
+        let usual = control_state::VerdictSettings::default();
         let rollback = micros(bounds.rollback_s);
         // A verdict's way to all foyers takes the rest of `RollbackS`.
-        let count = control_state::CountSettings {
-            lone_stands: within(rollback * 2 / 5, 0, usual.lone_stands),
-            again_after: within(rollback / 5, 200 * MS, usual.again_after),
+        let count = control_state::VerdictSettings {
+            lone_roll_back_duration: within(rollback * 2 / 5, 0, usual.lone_roll_back_duration),
+            verdict_repeat_interval: within(rollback / 5, 200 * MS, usual.verdict_repeat_interval),
             ..usual
         };
         let hand_over = within(micros(bounds.grace_s) * 2 / 3, 0, 5 * SECOND);
--- a/crates/playhouse/src/troubles.rs
+++ b/crates/playhouse/src/troubles.rs
@@ -56,13 +56,14 @@
 
 impl Reverted {
     /// Those that have gone back since the last look.
-    pub fn more(&mut self, script: &control_state::Script) -> Vec<(String, String)> {
-        if script.index() == self.at {
+    pub fn more(&mut self, script: &control_state::ControlState) -> Vec<(String, String)> {
+        if script.last_applied() == self.at {
             return Vec::new();
         }
-        self.at = script.index();
-        let back = script.rollouts.values().filter(|one| one.state == Some(control_state::State::Reverted));
-        let orders: Vec<_> = back.map(|one| (one.service.clone(), one.target.clone())).collect();
+        self.at = script.last_applied();
+        let back =
+            script.rollouts.values().filter(|one| one.state == Some(control_state::RolloutState::Reverted));
+        let orders: Vec<_> = back.map(|one| (one.service.clone(), one.target_version.clone())).collect();
         let more = orders.iter().filter(|order| !self.orders.contains(order)).cloned().collect();
         self.orders = orders;
         more
--- a/crates/rehearsal/src/plant.rs
+++ b/crates/rehearsal/src/plant.rs
@@ -344,8 +344,8 @@
                 None => continue,
             };
             if let Some(rollout) = script.rollouts.get_mut(&service) {
-                rollout.state = Some(control_state::State::InProgress);
-                rollout.target.clone_from(&target);
+                rollout.state = Some(control_state::RolloutState::InProgress);
+                rollout.target_version.clone_from(&target);
             }
         }
     }
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use configuration::Kind;
+use configuration::RouteKind;
 use types::{MS, Micros, SECOND};
 
 use crate::seen::{Answer, Seen, What};
@@ -333,7 +333,7 @@
     later_than(Rule::Drain, after_drains(log, terms, false), terms.drain)
 }
 
-fn kinds(log: &[Seen]) -> BTreeMap<u64, (usize, Kind)> {
+fn kinds(log: &[Seen]) -> BTreeMap<u64, (usize, RouteKind)> {
     let asked = log.iter().filter_map(|seen| match seen.what {
         What::Asked { request, route, kind } => Some((request, (route, kind))),
         _ => None,
@@ -347,7 +347,7 @@
     let mut ran = BTreeSet::new();
     for seen in log {
         if let What::Ran { request, instance, .. } = seen.what {
-            let once = kinds.get(&request).is_some_and(|(_, kind)| !kind.may_repeat());
+            let once = kinds.get(&request).is_some_and(|(_, kind)| !kind.is_idempotent());
             if once && !ran.insert(request) {
                 let what = format!("request {request} runs a second time, at instance {instance}");
                 return broken(Rule::Twice, seen.at, what);
@@ -373,7 +373,7 @@
             }
             _ => continue,
         };
-        let once = kinds.get(&request).is_some_and(|(_, kind)| !kind.may_repeat());
+        let once = kinds.get(&request).is_some_and(|(_, kind)| !kind.is_idempotent());
         if once && ran.contains(&request) && promised.contains(&request) {
             let what = format!("request {request} was promised not to run, and ran");
             return broken(Rule::Refused, seen.at, what);
@@ -590,7 +590,7 @@
 }
 
 /// Of each kind of request for the first routes, those sent once faults are over: (kind, sent at, served).
-fn by_kind(log: &[Seen]) -> Vec<(Kind, Vec<(Micros, bool)>)> {
+fn by_kind(log: &[Seen]) -> Vec<(RouteKind, Vec<(Micros, bool)>)> {
     let Some(calm) = calm(log) else { return Vec::new() };
     let end = log.last().map_or(0, |last| last.at) - 1_500 * MS;
     let routes = first_routes(log);
@@ -599,7 +599,7 @@
         _ => None,
     });
     let good: BTreeSet<u64> = good.collect();
-    let kinds = [Kind::Safe, Kind::Unsafe, Kind::Upload].into_iter().map(|kind| {
+    let kinds = [RouteKind::Safe, RouteKind::Unsafe, RouteKind::Upload].into_iter().map(|kind| {
         let sent = log.iter().filter_map(|seen| match seen.what {
             What::Asked { request, kind: of, route } if of == kind && route < routes => {
                 (calm..end).contains(&seen.at).then(|| (seen.at, good.contains(&request)))
--- a/crates/rehearsal/src/seen.rs
+++ b/crates/rehearsal/src/seen.rs
@@ -1,7 +1,7 @@
 //! Seen (observations): what clients, instances and operators saw, and which troubles there were. Rules are
 //! checked on this alone, so that a recorded or hand-made run can be judged too.
 
-use configuration::Kind;
+use configuration::RouteKind;
 use types::Micros;
 
 /// A machine's number in the world.
@@ -87,7 +87,7 @@
     Asked {
         request: u64,
         route: usize,
-        kind: Kind,
+        kind: RouteKind,
     },
     /// A foyer handles it by a configuration; `life` numbers the foyer's processes. `sent`: by the client.
     Handled {
--- a/crates/rehearsal/src/site.rs
+++ b/crates/rehearsal/src/site.rs
@@ -1,7 +1,7 @@
 //! Site (the deployment): where machines stand, the rules' bounds, services and routes. What a scenario leaves out
 //! is as on the small sites.
 
-use configuration::Kind;
+use configuration::RouteKind;
 use serde::{Deserialize, Serialize};
 use types::{MS, Micros};
 
@@ -153,14 +153,14 @@
         if self.single == Some(service) { 1 } else { self.instances.max(1) }
     }
 
-    pub fn kind(&self, route: usize) -> Kind {
+    pub fn kind(&self, route: usize) -> RouteKind {
         if route >= self.routes() {
-            return Kind::Safe;
+            return RouteKind::Safe;
         }
         match (self.kinds, route % 6) {
-            (Kinds::Mixed, 1 | 5) | (Kinds::Unsafe, _) => Kind::Unsafe,
-            (Kinds::Mixed, 2) | (Kinds::Upload, 0 | 2 | 4) => Kind::Upload,
-            _ => Kind::Safe,
+            (Kinds::Mixed, 1 | 5) | (Kinds::Unsafe, _) => RouteKind::Unsafe,
+            (Kinds::Mixed, 2) | (Kinds::Upload, 0 | 2 | 4) => RouteKind::Upload,
+            _ => RouteKind::Safe,
         }
     }
 
--- a/crates/rehearsal/src/texts.rs
+++ b/crates/rehearsal/src/texts.rs
@@ -1,6 +1,6 @@
 //! Texts (the operators' configurations): valid ones, changes, and every kind of invalid one.
 
-use configuration::Kind;
+use configuration::RouteKind;
 use oorandom::Rand64;
 
 use crate::site::Site;
@@ -39,9 +39,9 @@
 /// One base route, now and then moved or split; what it may go to is added to `allows`.
 fn base_route(site: &Site, route: usize, chance: &mut Rand64, allows: &mut Vec<(usize, usize)>) -> String {
     let kind = match site.kind(route) {
-        Kind::Safe => "safe",
-        Kind::Unsafe => "unsafe",
-        Kind::Upload => "upload",
+        RouteKind::Safe => "safe",
+        RouteKind::Unsafe => "unsafe",
+        RouteKind::Upload => "upload",
     };
     let (own, other) = (route % site.services, chance.rand_range(0..site.services as u64) as usize);
     // Each service keeps a route of its own: one without requests can't be judged.
