--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -250,7 +250,7 @@
     /// Until when those who grant a vote are killed, and for how long.
     pub(crate) after_vote: (Micros, Micros),
     /// For the planted faults: an old state.
-    pub(crate) old_scripts: BTreeMap<usize, control_state::Script>,
+    pub(crate) old_scripts: BTreeMap<usize, control_state::ControlState>,
 }
 
 impl World {
--- a/crates/understudy/src/targets/disk.rs
+++ b/crates/understudy/src/targets/disk.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use consensus::{Entry, Members, Promptbook, Snapshot, What, Write, WriteNo};
-use control_state::{Command, Script};
+use control_state::{Command, ControlState};
 use membership::{Member, Part};
 use playhouse::house::House;
 use playhouse::settings::Spans;
@@ -101,7 +101,7 @@
     let what = match index % 4 {
         0 => What::Nothing,
         1 => What::Members(Members(vec![seat(1), seat(2)])),
-        _ => What::Command(Command::Seen { service: "s".into(), version: "v1".into() }.to_bytes()),
+        _ => What::Command(Command::Seen { service: "s".into(), version: "v1".into() }.encode_v1()),
     };
     Entry { index: LogIndex(index), term: Term(1), what }
 }
@@ -116,11 +116,11 @@
         entries: entries.iter().map(|index| entry(*index)).collect(),
         snapshot,
     };
-    let mut script = Script::new();
+    let mut script = ControlState::new();
     script.apply(
         0,
         LogIndex(3),
-        &Command::Replace { base: types::ConfigVersion(0), text: BILL.into() }.to_bytes(),
+        &Command::Replace { base: types::ConfigVersion(0), text: BILL.into() }.encode_v1(),
     );
     let data = script.snapshot();
     let snapshot = Snapshot { index: LogIndex(3), term: Term(1), members: Members(vec![seat(1)]), data };
@@ -196,7 +196,7 @@
         signature.bucket("effects", effects.len() as u64);
         signature.mark("member", u64::from(book.is_member()));
         if let Some(snapshot) = &opened.saved.snapshot {
-            let restored = Script::new().restore(0, snapshot.index, &snapshot.data);
+            let restored = ControlState::new().restore(0, snapshot.index, &snapshot.data);
             let error = restored.err().map(|error| error.to_string()).unwrap_or_default();
             signature.text("restored", error.split(':').next().unwrap_or(""));
         }
--- a/crates/understudy/src/targets/mod.rs
+++ b/crates/understudy/src/targets/mod.rs
@@ -92,7 +92,7 @@
 ];
 
 fn mark_faults(signature: &mut Signature, faults: &configuration::Faults) {
-    signature.bucket("faults", (faults.list.len() + faults.more) as u64);
+    signature.bucket("faults", (faults.list.len() + faults.omitted) as u64);
     for fault in &faults.list {
         let pieces = fault.place.split(|byte: char| !byte.is_ascii_alphanumeric());
         let place: Vec<&str> = pieces.filter(|piece| KNOWN.contains(piece)).collect();
