--- a/crates/extras/src/sockets/part.rs
+++ b/crates/extras/src/sockets/part.rs
@@ -14,7 +14,7 @@
 use playhouse::settings::Settings;
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
-use transport::{Arrived, Incoming, Post, PostLimits};
+use transport::{MessageReceiver, ReceivedMessage, SocketTransport, TransportLimits};
 use types::{CallId, ConfigVersion, Micros, NodeAddress};
 
 use super::{Plan, Told, wall};
@@ -83,7 +83,7 @@
 struct Hollow {
     node: Node,
     born: Instant,
-    post: Post,
+    post: SocketTransport,
     poke: Rc<Notify>,
     spent: Spent,
     /// When each version came into force here.
@@ -125,11 +125,11 @@
     let settings = Rc::new(settings());
     let waiting: Waiting = Rc::default();
     let mut all: Vec<Shared> = Vec::new();
-    let mut heard: Vec<Incoming> = Vec::new();
+    let mut heard: Vec<MessageReceiver> = Vec::new();
     for at in part.nodes() {
         let (place, prompter) = (part.place(at), at < part.plan.prompters);
         let zone = if prompter { at % ZONES } else { (at - part.plan.prompters) % ZONES };
-        let (post, incoming) = Post::bind(place.0, PORT, PostLimits::default())?;
+        let (post, incoming) = SocketTransport::bind(place.0, PORT, TransportLimits::default())?;
         let node = Node::new(place, zone, prompter);
         let (born, poke) = (Instant::now(), Rc::new(Notify::new()));
         let hollow = Hollow { node, born, post, poke, spent: Spent::default(), in_force: Vec::new() };
@@ -200,8 +200,8 @@
         told.ready += usize::from(one.node.floor().is_some_and(|floor| floor.ready()));
         let Some(house) = one.node.house() else { continue };
         told.whole_company += usize::from(house.company.members().count() + 1 >= machines);
-        let serves = |known: &&registry::Known| known.state == registry::State::InService;
-        let known = house.cast.records().filter(serves).count();
+        let serves = |known: &&registry::Instance| known.state == registry::InstanceState::InService;
+        let known = house.cast.instances().filter(serves).count();
         told.whole_cast += usize::from(known >= part.plan.instances);
         let came = one.in_force.iter().find(|(of, _)| *of == version);
         told.in_force.extend(came.map(|(_, at)| *at).filter(|_| phase != Phase::Steady));
@@ -266,8 +266,8 @@
 
 /// A node from its start on.
 async fn live(
-    part: Part, at: usize, shared: Shared, settings: Rc<Settings>, mut heard: Incoming, waiting: Waiting,
-    begins: Instant,
+    part: Part, at: usize, shared: Shared, settings: Rc<Settings>, mut heard: MessageReceiver,
+    waiting: Waiting, begins: Instant,
 ) {
     let seed = part.seed(at);
     tokio::time::sleep_until(begins + SPREAD.mul_f64((seed >> 11) as f64 / (1u64 << 53) as f64)).await;
@@ -288,9 +288,9 @@
         let due = born + Duration::from_micros(due.clamp(0, 3_600_000_000) as u64);
         tokio::select! {
             word = heard.recv() => {
-                let Some(Arrived { from, bytes, .. }) = word else { return };
+                let Some(ReceivedMessage { from, bytes, .. }) = word else { return };
                 mail(&shared, &waiting, from, &bytes);
-                while let Ok(Arrived { from, bytes, .. }) = heard.try_recv() {
+                while let Ok(ReceivedMessage { from, bytes, .. }) = heard.try_recv() {
                     mail(&shared, &waiting, from, &bytes);
                 }
             }
--- a/crates/extras/src/world/callers.rs
+++ b/crates/extras/src/world/callers.rs
@@ -5,7 +5,7 @@
 use control_state::{Command, Outcome};
 use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
 use playhouse::control::Told;
-use registry::{Beat, InstanceId};
+use registry::{Heartbeat, InstanceId};
 use types::{CallId, ConfigVersion, MS, Micros, NodeAddress, SECOND};
 
 use super::{Event, World};
@@ -35,7 +35,7 @@
 }
 
 pub(super) struct Instance {
-    beat: Beat,
+    beat: Heartbeat,
     /// The bodies of its calls.
     bytes: u64,
     life: u32,
@@ -45,7 +45,7 @@
 }
 
 impl Instance {
-    fn new(beat: Beat, life: u32) -> Instance {
+    fn new(beat: Heartbeat, life: u32) -> Instance {
         let bytes = body(&beat);
         Instance { beat, bytes, life, hub: None, pause: FIRST_PAUSE, waits: false }
     }
@@ -64,9 +64,9 @@
     waiting: usize,
 }
 
-pub(crate) fn beat(number: usize, life: u32, services: usize) -> Beat {
+pub(crate) fn beat(number: usize, life: u32, services: usize) -> Heartbeat {
     let (high, low) = (number / 250, number % 250);
-    Beat {
+    Heartbeat {
         id: InstanceId(format!("i-{life:02x}{number:06x}")),
         service: text::service(number % services),
         address: SocketAddrV4::new(Ipv4Addr::new(10, 128, high as u8, low as u8 + 1), 8080),
@@ -80,7 +80,7 @@
 }
 
 /// A beat's body as `api/openapi.yaml` has it.
-fn body(beat: &Beat) -> u64 {
+fn body(beat: &Heartbeat) -> u64 {
     let fixed = "{\"Address\":\"\",\"NodeInfo\":{\"TargetService\":\"\",\"ConfigVersion\":\"\",\"Zone\":\"\",\
                  \"CapacitySlots\":3},\"Status\":{\"State\":\"in_service\",\"CallSequence\":1000,\"WarmupLeftS\":0}}";
     let texts = [&beat.service, &beat.version, &beat.zone];
--- a/crates/extras/src/world/node.rs
+++ b/crates/extras/src/world/node.rs
@@ -193,7 +193,7 @@
         }
     }
 
-    pub fn beat(&mut self, now: Micros, ask: CallId, beat: registry::Beat) -> Vec<Did> {
+    pub fn beat(&mut self, now: Micros, ask: CallId, beat: registry::Heartbeat) -> Vec<Did> {
         self.control(now, control::In::Beat { ask, beat })
     }
 
--- a/crates/extras/src/world/report.rs
+++ b/crates/extras/src/world/report.rs
@@ -93,7 +93,7 @@
         let whole_company = whole.count();
         let cast = |at: usize| {
             self.nodes[at].house().map(|house| {
-                house.cast.records().filter(|one| one.state == registry::State::InService).count()
+                house.cast.instances().filter(|one| one.state == registry::InstanceState::InService).count()
             })
         };
         let whole_cast =
--- a/crates/playhouse/src/calls.rs
+++ b/crates/playhouse/src/calls.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use hyper::{HeaderMap, Method};
-use registry::{Beat, InstanceId};
+use registry::{Heartbeat, InstanceId};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use types::{ConfigVersion, Micros};
@@ -119,7 +119,7 @@
 }
 
 /// The body of a beat.
-pub fn beat(id: InstanceId, body: &[u8]) -> Result<Beat, Wrong> {
+pub fn beat(id: InstanceId, body: &[u8]) -> Result<Heartbeat, Wrong> {
     let value = read(body)?;
     let part = |key: &str| match value.get(key) {
         Some(part) if part.is_object() => Ok(part),
@@ -139,7 +139,7 @@
         Some(n) if (0.0..9e15).contains(&n) => Ok(n as u64),
         _ => bad(format!("{at}/{key}: a whole number expected")),
     };
-    Ok(Beat {
+    Ok(Heartbeat {
         id,
         service: text(info, "/NodeInfo", "TargetService")?,
         address,
--- a/crates/playhouse/src/commands/view.rs
+++ b/crates/playhouse/src/commands/view.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use membership::{Part, Standing};
-use registry::State;
+use registry::InstanceState;
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use types::{Micros, SECOND};
@@ -42,12 +42,12 @@
     }
 }
 
-fn state(state: State) -> &'static str {
+fn state(state: InstanceState) -> &'static str {
     match state {
-        State::InService => "in_service",
-        State::Silent => "silent",
-        State::Draining => "draining",
-        State::Gone => "gone",
+        InstanceState::InService => "in_service",
+        InstanceState::Silent => "silent",
+        InstanceState::Draining => "draining",
+        InstanceState::Gone => "gone",
     }
 }
 
@@ -65,7 +65,7 @@
         house.script.rollouts.values().map(|rollout| trial(control, now, rollout)).collect();
     let mut counts: BTreeMap<&str, [usize; 4]> = BTreeMap::new();
     let (mut instances, mut more) = (Vec::new(), 0);
-    for record in house.cast.records() {
+    for record in house.cast.instances() {
         counts.entry(&record.service).or_default()[record.state as usize] += 1;
         if instances.len() < INSTANCES_MOST {
             instances.push(instance(now, record));
@@ -146,11 +146,11 @@
     })
 }
 
-fn instance(now: Micros, record: &registry::Known) -> OwnedValue {
+fn instance(now: Micros, record: &registry::Instance) -> OwnedValue {
     simd_json::json!({
         "Id": record.id.0.clone(), "Service": record.service.clone(), "Address": record.address.to_string(),
         "Zone": record.zone.clone(), "Version": record.version.clone(), "Slots": record.slots,
-        "State": state(record.state), "SinceS": seconds(now - record.since),
-        "WarmupLeftS": seconds((record.slow_until - now).max(0)), "Keeper": record.keeper.to_string(),
+        "State": state(record.state), "SinceS": seconds(now - record.state_since),
+        "WarmupLeftS": seconds((record.warm_at - now).max(0)), "Keeper": record.owner.to_string(),
     })
 }
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -8,7 +8,7 @@
 use control_state::{Command, Count, Outcome};
 use intent::{Inspector, inspector};
 use membership::{Part, Standing};
-use registry::{Beat, InstanceId};
+use registry::{Heartbeat, InstanceId};
 use types::{CallId, Carrier, FormatVersion, LogIndex, MS, Micros, NodeAddress, SECOND, VoterId};
 
 use crate::house::{Happened, House, Letter, Word};
@@ -46,7 +46,7 @@
     Written { no: WriteNo, ok: bool },
     Order { ask: CallId, command: Command },
     Read { ask: CallId },
-    Beat { ask: CallId, beat: Beat },
+    Beat { ask: CallId, beat: Heartbeat },
     Detach { ask: CallId, id: InstanceId },
     Seeds { places: Vec<NodeAddress> },
     Leave,
@@ -129,7 +129,7 @@
         mut house: House, seat: VoterId, first: Option<Members>, saved: Saved, spans: &Spans, seed: u64,
         now: Micros,
     ) -> (Control, Vec<Out>) {
-        house.cast.spread_within(spans.drain);
+        house.cast.set_drain_limit(spans.drain);
         house.script.repeated_for(spans.ack);
         let (book, effects) = Promptbook::start(seat, first, saved, spans.book, seed, now);
         let mut control = Control {
@@ -374,7 +374,7 @@
     /// goes is not asked any more, so a leader must not say it while it still leads.
     fn tend_leave(&mut self, now: Micros) {
         let Some(until) = self.leaving else { return };
-        let (release, untold) = (self.book.release(), self.house.cast.untold());
+        let (release, untold) = (self.book.release(), self.house.cast.pending_updates());
         let last = self.book.counted().0;
         // One that reads form 1 only does not know the question.
         let leader = self.book.leader().map(|seat| seat.address);
@@ -412,7 +412,7 @@
 
     /// Has the instances kept where they have changed.
     fn tend_memory(&mut self, now: Micros) {
-        let changes = self.house.cast.changes();
+        let changes = self.house.cast.revision();
         if changes == self.kept.0 {
             return;
         }
@@ -436,9 +436,9 @@
         }
         let rollouts = &self.house.script.rollouts;
         let known = |service: &str| rollouts.get(service).is_some_and(|rollout| rollout.current.is_some());
-        let records = self.house.cast.records();
+        let records = self.house.cast.instances();
         let unknown: Vec<(String, String)> = records
-            .filter(|record| record.state == registry::State::InService && !known(&record.service))
+            .filter(|record| record.state == registry::InstanceState::InService && !known(&record.service))
             .map(|record| (record.service.clone(), record.version.clone()))
             .collect();
         for (service, version) in unknown {
--- a/crates/playhouse/src/floor/desk.rs
+++ b/crates/playhouse/src/floor/desk.rs
@@ -17,7 +17,7 @@
 };
 use indexmap::IndexMap;
 use load::{Bounds, Fleet, Profiles, Share, VOTE_LIFE};
-use registry::{InstanceId, State};
+use registry::{InstanceId, InstanceState};
 use types::Micros;
 
 /// What the decisions have asked for.
@@ -228,7 +228,7 @@
     /// Tells the decisions of instances as they are known now, and how many foyers come before this one at each: what they
     /// were told already is not told again.
     pub fn instances<'a>(
-        &mut self, known: impl Iterator<Item = (&'a registry::Known, usize)>, rollout: Option<&Rollout>,
+        &mut self, known: impl Iterator<Item = (&'a registry::Instance, usize)>, rollout: Option<&Rollout>,
     ) {
         let news: Vec<ServerInfo> =
             known.filter_map(|(known, before)| self.instance(known, rollout, before)).collect();
@@ -273,12 +273,12 @@
 
     /// One of them; `None`: it never may get tickets, or nothing is new.
     fn instance(
-        &mut self, known: &registry::Known, rollout: Option<&Rollout>, before: usize,
+        &mut self, known: &registry::Instance, rollout: Option<&Rollout>, before: usize,
     ) -> Option<ServerInfo> {
         let build = rollout.and_then(|rollout| rollout.build_of(&known.version));
         let condition = match (build, known.state) {
-            (Some(_), State::InService) => Condition::Healthy,
-            (Some(_), State::Draining) => Condition::Draining,
+            (Some(_), InstanceState::InService) => Condition::Healthy,
+            (Some(_), InstanceState::Draining) => Condition::Draining,
             _ => Condition::Gone,
         };
         if condition == Condition::Gone && !self.servers.contains_key(&known.id) {
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -150,7 +150,7 @@
 
 impl Floor {
     pub fn start(mut house: House, settings: Rc<Settings>, seed: u64, now: Micros) -> Floor {
-        house.cast.spread_within(micros(settings.timer_bounds.drain_s));
+        house.cast.set_drain_limit(micros(settings.timer_bounds.drain_s));
         let bounds = &settings.timer_bounds;
         let bounds = Bounds {
             retry_ratio: bounds.retry_budget_ratio,
@@ -212,8 +212,8 @@
 
     /// How this foyer stands, for people and scripts.
     pub fn status(&self) -> simd_json::OwnedValue {
-        let of = |state: registry::State| {
-            self.house.cast.records().filter(|known| known.state == state).count() as u64
+        let of = |state: registry::InstanceState| {
+            self.house.cast.instances().filter(|known| known.state == state).count() as u64
         };
         let why = match (self.leaving, &self.bill, self.house.why_unreadable()) {
             (true, ..) => "it is leaving",
@@ -239,9 +239,9 @@
             "RequestsInHand": self.open.len() as u64,
             "TurnedBack": self.turned_back,
             "Forfeited": self.forfeited,
-            "InService": of(registry::State::InService),
-            "Silent": of(registry::State::Silent),
-            "Draining": of(registry::State::Draining),
+            "InService": of(registry::InstanceState::InService),
+            "Silent": of(registry::InstanceState::Silent),
+            "Draining": of(registry::InstanceState::Draining),
         })
     }
 
@@ -263,8 +263,8 @@
         let Some(bill) = self.bill.as_ref().filter(|_| !self.opened) else { return };
         let cast = &self.house.cast;
         let known: HashSet<&str> = cast
-            .records()
-            .filter(|known| known.state == registry::State::InService)
+            .instances()
+            .filter(|known| known.state == registry::InstanceState::InService)
             .map(|known| known.service.as_str())
             .collect();
         let mut targets = bill.routes.values().flat_map(|route| &route.targets);
@@ -402,7 +402,7 @@
             desk.bill_changed(&bill, &self.fleet, settled);
             let share = share(Some(&bill), &service, foyers.len());
             desk.share(share);
-            let known = self.house.cast.records().filter(|known| *known.service == *service);
+            let known = self.house.cast.instances().filter(|known| *known.service == *service);
             let own = self.house.own.place;
             let known = known.map(|known| (known, share.before(own, &foyers, &known.id.0)));
             desk.instances(known, rollout);
@@ -458,7 +458,7 @@
 
     fn instance(&mut self, id: &registry::InstanceId) {
         let Some(known) = self.house.cast.get(id) else { return };
-        let warmup = known.slow_until - known.first_seen;
+        let warmup = known.warm_at - known.first_seen;
         if warmup > self.fleet.warmup {
             self.fleet.warmup = warmup.min(60 * SECOND);
         }
--- a/crates/playhouse/src/foyer/mod.rs
+++ b/crates/playhouse/src/foyer/mod.rs
@@ -24,7 +24,7 @@
 use hyper::Response;
 use membership::Part;
 use tokio::sync::oneshot;
-use transport::{Arrived, Post};
+use transport::{ReceivedMessage, SocketTransport};
 use types::{MS, Micros, NodeAddress, RunId, SECOND};
 
 use crate::floor::desk::Seen;
@@ -68,7 +68,7 @@
 
 pub struct Foyer {
     floor: Floor,
-    post: Rc<Post>,
+    post: Rc<SocketTransport>,
     clock: Clock,
     settings: Rc<Settings>,
     open: HashMap<RequestId, Open>,
@@ -88,8 +88,11 @@
     let clock = Clock::start();
     let frontend = settings.listen_addresses.frontend.ok_or("ListenAddresses.Frontend is missing")?;
     let readiness = settings.listen_addresses.readiness.ok_or("ListenAddresses.Readiness is missing")?;
-    let (post, mut mail) =
-        Post::bind(settings.ip_address, settings.internal_port(), transport::PostLimits::default())?;
+    let (post, mut mail) = SocketTransport::bind(
+        settings.ip_address,
+        settings.internal_port(),
+        transport::TransportLimits::default(),
+    )?;
     let now = clock.now();
     let member = settings.member(Part::Foyer, RunId(chance()));
     let house = House::start(member, settings.seeds(), micros(settings.heartbeat_s), chance(), now);
@@ -193,8 +196,8 @@
         }
     }
 
-    fn mail(&mut self, shared: &Shared, arrived: &Arrived) {
-        let Arrived { from, bytes, carrier } = arrived;
+    fn mail(&mut self, shared: &Shared, arrived: &ReceivedMessage) {
+        let ReceivedMessage { from, bytes, carrier } = arrived;
         self.step(shared, In::Mail { from: NodeAddress(*from), bytes, carrier: *carrier });
     }
 
--- a/crates/playhouse/src/metrics.rs
+++ b/crates/playhouse/src/metrics.rs
@@ -16,7 +16,7 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
-use transport::PostStats;
+use transport::TransportStats;
 
 use crate::house::House;
 
@@ -31,7 +31,7 @@
 
 impl Metrics {
     /// What gateways and control machines have in common.
-    pub fn of(house: &House, post: PostStats) -> Metrics {
+    pub fn of(house: &House, post: TransportStats) -> Metrics {
         let mut metrics = Metrics(Registry::with_prefix("garnetdoor"));
         let news = house.board.stats();
         metrics.gauge("news_held_index", "Last ordered command held here", news.held.0);
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -18,7 +18,7 @@
 use simd_json::prelude::*;
 use storage::{Ledger, LedgerError, Opened, StoreError};
 use tokio::sync::oneshot;
-use transport::{Arrived, DiskHand, DiskStore, NoteHand, Post};
+use transport::{DiskStore, DiskWriter, LatestValueFile, ReceivedMessage, SocketTransport};
 use types::{CallId, Micros, NodeAddress, RunId, SECOND, VoterId};
 
 use crate::calls::{self, Call, Wrong};
@@ -51,9 +51,9 @@
     control: Control,
     clock: Clock,
     settings: Rc<Settings>,
-    post: Rc<Post>,
-    disk: DiskHand<DiskStore>,
-    memory: NoteHand,
+    post: Rc<SocketTransport>,
+    disk: DiskWriter<DiskStore>,
+    memory: LatestValueFile,
     asks: HashMap<CallId, oneshot::Sender<Told>>,
     next_ask: u64,
     changed: Rc<tokio::sync::Notify>,
@@ -79,16 +79,19 @@
     let own = settings.place();
     let first = settings.initial_start && settings.seeds().contains(&own);
     let (ledger, opened) = open(&dir, first)?;
-    let (disk, mut done) = DiskHand::start(ledger)?;
-    let (memory, remembered) = NoteHand::start(&dir, MEMORY)?;
+    let (disk, mut done) = DiskWriter::start(ledger)?;
+    let (memory, remembered) = LatestValueFile::start(&dir, MEMORY)?;
     let seat = VoterId { address: own, disk_id: opened.life };
     let voters = || settings.seeds().into_iter().map(|place| VoterId { address: place, disk_id: FIRST_LIFE });
     // A disk with nothing kept yet has promised nothing, also where the process was killed since it was
     // begun.
     let unused = opened.life == FIRST_LIFE && opened.saved == Saved::default();
     let first = (first && unused).then(|| Members(voters().collect()));
-    let (post, mut mail) =
-        Post::bind(settings.ip_address, settings.internal_port(), transport::PostLimits::default())?;
+    let (post, mut mail) = SocketTransport::bind(
+        settings.ip_address,
+        settings.internal_port(),
+        transport::TransportLimits::default(),
+    )?;
     let now = clock.now();
     // Among the nodes it is the process that lives: one that has left in order is never heard again, and this
     // one may come back with the same disk.
@@ -147,13 +150,13 @@
             done = done.recv() => {
                 let Some(done) = done else { return Err("the disk's hand has gone".into()) };
                 let mut prompter = shared.borrow_mut();
-                prompter.writes.answered(done.no, done.ok);
-                prompter.step(In::Written { no: done.no, ok: done.ok });
-                if prompter.disk.refuses() {
+                prompter.writes.answered(done.write_no, done.durable);
+                prompter.step(In::Written { no: done.write_no, ok: done.durable });
+                if prompter.disk.is_rejecting() {
                     // What this process holds is not what its disk holds, and never will be.
                     return Err("the disk's hand refuses writes; the ledger is to be opened anew".into());
                 }
-                if !done.ok {
+                if !done.durable {
                     ring::spill("a write is not on disk");
                 }
             }
@@ -222,8 +225,8 @@
 }
 
 impl Prompter {
-    fn mail(&mut self, arrived: Arrived) {
-        let Arrived { from, bytes, carrier } = arrived;
+    fn mail(&mut self, arrived: ReceivedMessage) {
+        let ReceivedMessage { from, bytes, carrier } = arrived;
         self.step(In::Mail { from: NodeAddress(from), bytes, carrier });
     }
 
@@ -256,9 +259,9 @@
                 // One that is refused is answered as failed by the hand itself.
                 Out::Write(write) => {
                     self.writes.handed(self.clock.now(), write.no);
-                    self.disk.write(write);
+                    self.disk.submit(write);
                 }
-                Out::Remember(bytes) => self.memory.keep(bytes),
+                Out::Remember(bytes) => self.memory.store(bytes),
                 Out::Tell { ask, told } => {
                     if let Some(reply) = self.asks.remove(&ask) {
                         let _ = reply.send(told);
--- a/crates/registry/src/drains.rs
+++ b/crates/registry/src/drains.rs
@@ -7,7 +7,7 @@
 /// Most drains in flight at once, and callers that wait for one.
 pub(crate) const MOST_ROUNDS: usize = 1024;
 const MOST_ASKS: usize = 16;
-/// Between sendings to those that have not answered while someone waits; after that it is `Timing::tell_again`.
+/// Between sendings to those that have not answered while someone waits; after that it is `Timing::drain_resend_interval`.
 const RETRY: Micros = 100 * MS;
 /// Foyers that have not answered so many sendings should be told by stream.
 const BY_DATAGRAM: u32 = 2;
@@ -67,10 +67,10 @@
     }
 
     /// Another caller waits. `false` where too many do.
-    pub fn join(&mut self, ask: CallId, until: Micros) -> bool {
+    pub fn join(&mut self, call: CallId, until: Micros) -> bool {
         let room = self.asks.len() < MOST_ASKS;
         if room {
-            self.asks.push((ask, until));
+            self.asks.push((call, until));
             self.ends = self.ends.max(until);
         }
         room
@@ -98,12 +98,12 @@
         }
         let foyers = !self.all_foyers || self.foyers.iter().all(|place| self.heard.contains(place));
         self.known |= foyers && self.enough(need);
-        self.known.then(|| self.asks.drain(..).map(|(ask, _)| ask).collect())
+        self.known.then(|| self.asks.drain(..).map(|(call, _)| call).collect())
     }
 
     /// Callers whose time is over.
     pub fn take_late(&mut self, now: Micros) -> Vec<CallId> {
-        let late = self.asks.iter().filter(|(_, until)| *until <= now).map(|(ask, _)| *ask).collect();
+        let late = self.asks.iter().filter(|(_, until)| *until <= now).map(|(call, _)| *call).collect();
         self.asks.retain(|(_, until)| *until > now);
         late
     }
--- a/crates/registry/src/list.rs
+++ b/crates/registry/src/instance_table.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 use types::{Micros, NodeAddress, SECOND};
 
-use crate::{BUCKETS, Beat, InstanceId, Key, Known, LONGEST, Record, State};
+use crate::{DIGEST_RANGES, Heartbeat, Instance, InstanceId, InstanceState, LONGEST, Record, RecordVersion};
 
 /// Most entries kept; beyond, the oldest that are gone make room, or newcomers are refused.
 const MOST: usize = 4096;
@@ -21,10 +21,10 @@
 /// One life as it is kept here.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    pub known: Known,
-    /// The highest sequence heard here; above the known one at the keeper, whose beats are not passed on.
+    pub known: Instance,
+    /// The highest sequence heard here; above the known one at the owner, whose beats are not passed on.
     latest: u64,
-    /// The last beat here, or when this node came to be its keeper.
+    /// The last beat here, or when this node came to be its owner.
     pub heard: Micros,
     /// When another node's newer word on it was last taken over.
     pub told: Micros,
@@ -32,7 +32,7 @@
     pub confirmed: bool,
     /// When it was last sent to another hub for balance.
     pub moved: Option<Micros>,
-    /// Known from before this process's start, and neither heard nor told anew since.
+    /// Instance from before this process's start, and neither heard nor told anew since.
     pub remembered: bool,
     hash: u64,
     /// Whether it counts in the sums.
@@ -46,7 +46,7 @@
     pub news: Vec<(InstanceId, bool)>,
     /// Of these, the own knowledge proved newer than what another said: to be told to all.
     pub again: Vec<InstanceId>,
-    pub shown: Vec<Known>,
+    pub shown: Vec<Instance>,
 }
 
 /// What a beat did.
@@ -62,7 +62,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct List {
     entries: IndexMap<InstanceId, Entry>,
-    sums: [u64; BUCKETS],
+    sums: [u64; DIGEST_RANGES],
     /// How often anything changed.
     changes: u64,
 }
@@ -84,13 +84,13 @@
         self.changes
     }
 
-    pub fn sums(&self) -> &[u64; BUCKETS] {
+    pub fn sums(&self) -> &[u64; DIGEST_RANGES] {
         &self.sums
     }
 
-    /// A beat at this node, which becomes the keeper. One that is not above the last sequence changes nothing,
+    /// A beat at this node, which becomes the owner. One that is not above the last sequence changes nothing,
     /// except that a drain is believed whenever it comes: an acknowledged one must be kept.
-    pub fn hear(&mut self, now: Micros, own: NodeAddress, beat: &Beat, learnt: &mut Learnt) -> Heard {
+    pub fn hear(&mut self, now: Micros, own: NodeAddress, beat: &Heartbeat, learnt: &mut Learnt) -> Heard {
         let Some(entry) = self.entries.get_mut(&beat.id) else {
             if !self.room() {
                 return Heard::Full;
@@ -100,8 +100,8 @@
             return Heard::Changed;
         };
         let late = beat.sequence <= entry.latest;
-        let drains = beat.draining && !entry.known.state.leaving();
-        if entry.known.state == State::Gone || (late && !drains) {
+        let drains = beat.draining && !entry.known.state.is_leaving();
+        if entry.known.state == InstanceState::Gone || (late && !drains) {
             return Heard::Nothing;
         }
         if !late {
@@ -115,14 +115,14 @@
         let mut next = if late { entry.known.clone() } else { first(now, own, beat) };
         next.sequence = entry.latest;
         next.first_seen = entry.known.first_seen;
-        if entry.known.state == State::Draining {
-            next.state = State::Draining;
+        if entry.known.state == InstanceState::Draining {
+            next.state = InstanceState::Draining;
         } else if drains {
-            next.state = State::Draining;
-            next.since = now;
+            next.state = InstanceState::Draining;
+            next.state_since = now;
         }
         if next.state == entry.known.state {
-            next.since = entry.known.since;
+            next.state_since = entry.known.state_since;
         }
         let address_changed = next.address != entry.known.address;
         self.set(now, own, next, learnt);
@@ -142,19 +142,19 @@
         if !self.room() {
             return false;
         }
-        let known = Known {
+        let known = Instance {
             id: id.clone(),
             service: String::new(),
             address: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
             zone: String::new(),
             version: String::new(),
             slots: 0,
-            state: State::Gone,
+            state: InstanceState::Gone,
             sequence: 0,
             first_seen: now,
-            slow_until: now,
-            since: now,
-            keeper: own,
+            warm_at: now,
+            state_since: now,
+            owner: own,
         };
         self.set(now, own, known, learnt);
         true
@@ -164,12 +164,12 @@
     pub fn quiet(&mut self, now: Micros, own: NodeAddress, id: &InstanceId, learnt: &mut Learnt) {
         let Some(entry) = self.entries.get(id) else { return };
         match entry.known.state {
-            State::Silent | State::Gone => {}
-            State::Draining => self.end(now, own, id, learnt),
-            State::InService => {
+            InstanceState::Silent | InstanceState::Gone => {}
+            InstanceState::Draining => self.end(now, own, id, learnt),
+            InstanceState::InService => {
                 let mut next = entry.known.clone();
-                next.state = State::Silent;
-                next.since = now;
+                next.state = InstanceState::Silent;
+                next.state_since = now;
                 next.sequence = entry.latest;
                 self.set(now, own, next, learnt);
             }
@@ -178,12 +178,12 @@
 
     fn end(&mut self, now: Micros, own: NodeAddress, id: &InstanceId, learnt: &mut Learnt) {
         let Some(entry) = self.entries.get(id) else { return };
-        if entry.known.state == State::Gone {
+        if entry.known.state == InstanceState::Gone {
             return;
         }
         let mut next = entry.known.clone();
-        next.state = State::Gone;
-        next.since = now;
+        next.state = InstanceState::Gone;
+        next.state_since = now;
         next.sequence = entry.latest;
         self.set(now, own, next, learnt);
     }
@@ -203,7 +203,7 @@
         if !record.fits() {
             return false;
         }
-        let told = record.known(now);
+        let told = record.into_instance(now);
         let id = told.id.clone();
         let Some(entry) = self.entries.get_mut(&id) else {
             if fading(&told, now) || !self.room() {
@@ -221,11 +221,11 @@
         let mut next = told;
         if next.sequence < entry.latest || (next.service.is_empty() && !entry.known.service.is_empty()) {
             // Later beats were heard here: they hold, save that a life which leaves leaves.
-            let leaves = (next.state, next.since);
+            let leaves = (next.state, next.state_since);
             next = entry.known.clone();
             next.sequence = entry.latest;
-            if leaves.0.leaving() {
-                (next.state, next.since) = leaves;
+            if leaves.0.is_leaving() {
+                (next.state, next.state_since) = leaves;
             } else {
                 learnt.again.push(id.clone());
             }
@@ -245,12 +245,12 @@
         &mut self, now: Micros, own: NodeAddress, id: &InstanceId, by_beat: bool, learnt: &mut Learnt,
     ) {
         let Some(entry) = self.entries.get(id) else { return };
-        if entry.known.state == State::Gone {
+        if entry.known.state == InstanceState::Gone {
             return;
         }
         let (address, mine) = (entry.known.address, (entry.known.first_seen, id.clone()));
         let rivals: Vec<(Micros, InstanceId)> = (self.entries.values().map(|other| &other.known))
-            .filter(|other| other.address == address && other.state != State::Gone && other.id != *id)
+            .filter(|other| other.address == address && other.state != InstanceState::Gone && other.id != *id)
             .map(|other| (other.first_seen, other.id.clone()))
             .collect();
         for rival in rivals {
@@ -260,14 +260,14 @@
     }
 
     /// Every change of what is known of a life goes through here: sums, news and what the driver sees.
-    fn set(&mut self, now: Micros, own: NodeAddress, next: Known, learnt: &mut Learnt) {
+    fn set(&mut self, now: Micros, own: NodeAddress, next: Instance, learnt: &mut Learnt) {
         let id = next.id.clone();
         let listed = !fading(&next, now);
         let urgent;
         match self.entries.get_mut(&id) {
             None => {
                 let hash = hash(&id);
-                urgent = next.state.leaving();
+                urgent = next.state.is_leaving();
                 learnt.shown.push(next.clone());
                 if listed {
                     add(&mut self.sums, hash, &next);
@@ -293,11 +293,11 @@
                 if listed {
                     add(&mut self.sums, entry.hash, &next);
                 }
-                urgent = next.state.leaving() && !entry.known.state.leaving();
+                urgent = next.state.is_leaving() && !entry.known.state.is_leaving();
                 if entry.known.differs(&next, now) {
                     learnt.shown.push(next.clone());
                 }
-                if next.keeper == own && entry.known.keeper != own {
+                if next.owner == own && entry.known.owner != own {
                     entry.heard = now;
                 }
                 entry.latest = entry.latest.max(next.sequence);
@@ -311,7 +311,7 @@
     }
 
     /// Drops what was remembered for long enough. `shown` gets silent ones that are forgotten, as gone.
-    pub fn forget(&mut self, now: Micros, shown: &mut Vec<Known>) {
+    pub fn forget(&mut self, now: Micros, shown: &mut Vec<Instance>) {
         for entry in self.entries.values_mut() {
             if entry.listed && fading(&entry.known, now) {
                 take(&mut self.sums, entry.hash, &entry.known);
@@ -319,9 +319,9 @@
             }
         }
         self.entries.retain(|_, entry| {
-            let over = now - entry.known.since >= kept(entry.known.state);
-            if over && entry.known.state != State::Gone {
-                entry.known.state = State::Gone;
+            let over = now - entry.known.state_since >= kept(entry.known.state);
+            if over && entry.known.state != InstanceState::Gone {
+                entry.known.state = InstanceState::Gone;
                 shown.push(entry.known.clone());
             }
             !over
@@ -333,8 +333,9 @@
         if self.entries.len() < MOST {
             return true;
         }
-        let gone = self.entries.values().enumerate().filter(|(_, entry)| entry.known.state == State::Gone);
-        let Some((index, _)) = gone.min_by_key(|(_, entry)| entry.known.since) else { return false };
+        let gone =
+            self.entries.values().enumerate().filter(|(_, entry)| entry.known.state == InstanceState::Gone);
+        let Some((index, _)) = gone.min_by_key(|(_, entry)| entry.known.state_since) else { return false };
         if let Some((_, entry)) = self.entries.swap_remove_index(index)
             && entry.listed
         {
@@ -345,35 +346,35 @@
 
     /// Everything that is compared, as it travels.
     pub fn all(&self, now: Micros) -> Vec<Record> {
-        self.entries.values().filter(|entry| entry.listed).map(|entry| entry.known.record(now)).collect()
+        self.entries.values().filter(|entry| entry.listed).map(|entry| entry.known.to_record(now)).collect()
     }
 
     pub fn records(&self, now: Micros, ids: &[InstanceId]) -> Vec<Record> {
-        ids.iter().filter_map(|id| self.entries.get(id)).map(|entry| entry.known.record(now)).collect()
+        ids.iter().filter_map(|id| self.entries.get(id)).map(|entry| entry.known.to_record(now)).collect()
     }
 
     /// Keys of each range that differs from `sums`.
-    pub fn keys_where_unlike(&self, sums: &[u64; BUCKETS]) -> Vec<(usize, Vec<Key>)> {
-        let unlike = (0..BUCKETS).filter(|&range| sums[range] != self.sums[range]);
+    pub fn keys_where_unlike(&self, sums: &[u64; DIGEST_RANGES]) -> Vec<(usize, Vec<RecordVersion>)> {
+        let unlike = (0..DIGEST_RANGES).filter(|&range| sums[range] != self.sums[range]);
         let keys_in = |range| self.listed().filter(|entry| bucket(entry.hash) == range).map(key).collect();
         unlike.map(|range| (range, keys_in(range))).collect()
     }
 
     /// What the sender of keys lacks or has older, and the hashes of what is older or not known here.
-    pub fn compare(&self, now: Micros, whole: u16, keys: &[Key]) -> (Vec<Record>, Vec<u64>) {
+    pub fn compare(&self, now: Micros, whole: u16, keys: &[RecordVersion]) -> (Vec<Record>, Vec<u64>) {
         let mut give = Vec::new();
-        let mut want: Vec<u64> = keys.iter().map(|key| key.hash).collect();
+        let mut want: Vec<u64> = keys.iter().map(|key| key.id_hash).collect();
         for entry in self.listed() {
-            let theirs = keys.iter().find(|key| key.hash == entry.hash);
+            let theirs = keys.iter().find(|key| key.id_hash == entry.hash);
             let mine = order(&entry.known);
             let newer = match theirs {
-                Some(theirs) => mine > order_of(theirs.state, theirs.sequence, theirs.keeper),
+                Some(theirs) => mine > order_of(theirs.state, theirs.sequence, theirs.owner),
                 None => whole & (1 << bucket(entry.hash)) != 0,
             };
             if newer {
-                give.push(entry.known.record(now));
+                give.push(entry.known.to_record(now));
             }
-            if theirs.is_some_and(|theirs| mine >= order_of(theirs.state, theirs.sequence, theirs.keeper)) {
+            if theirs.is_some_and(|theirs| mine >= order_of(theirs.state, theirs.sequence, theirs.owner)) {
                 want.retain(|&hash| hash != entry.hash);
             }
         }
@@ -382,7 +383,7 @@
 
     pub fn wanted(&self, now: Micros, hashes: &[u64]) -> Vec<Record> {
         let asked = self.listed().filter(|entry| hashes.contains(&entry.hash));
-        asked.map(|entry| entry.known.record(now)).collect()
+        asked.map(|entry| entry.known.to_record(now)).collect()
     }
 
     fn listed(&self) -> impl Iterator<Item = &Entry> {
@@ -390,87 +391,88 @@
     }
 }
 
-fn first(now: Micros, own: NodeAddress, beat: &Beat) -> Known {
-    Known {
+fn first(now: Micros, own: NodeAddress, beat: &Heartbeat) -> Instance {
+    Instance {
         id: beat.id.clone(),
         service: beat.service.clone(),
         address: beat.address,
         zone: beat.zone.clone(),
         version: beat.version.clone(),
         slots: beat.slots,
-        state: if beat.draining { State::Draining } else { State::InService },
+        state: if beat.draining { InstanceState::Draining } else { InstanceState::InService },
         sequence: beat.sequence,
         first_seen: now,
-        slow_until: now + beat.warmup_left.clamp(0, LONGEST),
-        since: now,
-        keeper: own,
+        warm_at: now + beat.warmup_left.clamp(0, LONGEST),
+        state_since: now,
+        owner: own,
     }
 }
 
 /// Whether a beat says what is known already.
-fn says(beat: &Beat, known: &Known, now: Micros, own: NodeAddress) -> bool {
-    known.keeper == own
-        && (known.state == State::Draining || (known.state == State::InService && !beat.draining))
+fn says(beat: &Heartbeat, known: &Instance, now: Micros, own: NodeAddress) -> bool {
+    known.owner == own
+        && (known.state == InstanceState::Draining
+            || (known.state == InstanceState::InService && !beat.draining))
         && known.address == beat.address
         && known.slots == beat.slots
         && known.service == beat.service
         && known.version == beat.version
         && known.zone == beat.zone
-        && !crate::moved(known.slow_until, now + beat.warmup_left.clamp(0, LONGEST), now)
+        && !crate::moved(known.warm_at, now + beat.warmup_left.clamp(0, LONGEST), now)
 }
 
 /// Which of two views of one life holds: gone over draining over the rest, then the later call, then silence.
-fn order(known: &Known) -> (u8, u64, bool, Option<NodeAddress>) {
-    order_of(known.state, known.sequence, known.keeper)
+fn order(known: &Instance) -> (u8, u64, bool, Option<NodeAddress>) {
+    order_of(known.state, known.sequence, known.owner)
 }
 
-fn order_of(state: State, sequence: u64, keeper: NodeAddress) -> (u8, u64, bool, Option<NodeAddress>) {
+fn order_of(state: InstanceState, sequence: u64, owner: NodeAddress) -> (u8, u64, bool, Option<NodeAddress>) {
     match state {
-        State::Gone => (2, 0, false, None),
-        State::Draining => (1, sequence, false, Some(keeper)),
-        State::Silent => (0, sequence, true, Some(keeper)),
-        State::InService => (0, sequence, false, Some(keeper)),
+        InstanceState::Gone => (2, 0, false, None),
+        InstanceState::Draining => (1, sequence, false, Some(owner)),
+        InstanceState::Silent => (0, sequence, true, Some(owner)),
+        InstanceState::InService => (0, sequence, false, Some(owner)),
     }
 }
 
-fn kept(state: State) -> Micros {
+fn kept(state: InstanceState) -> Micros {
     match state {
-        State::Gone => GONE_KEPT,
-        State::Silent => SILENT_KEPT,
-        State::InService | State::Draining => Micros::MAX,
+        InstanceState::Gone => GONE_KEPT,
+        InstanceState::Silent => SILENT_KEPT,
+        InstanceState::InService | InstanceState::Draining => Micros::MAX,
     }
 }
 
 /// Whether a memory is so near its end that it is neither compared nor taken over.
-fn fading(known: &Known, now: Micros) -> bool {
-    now - known.since >= kept(known.state) - UNLISTED
+fn fading(known: &Instance, now: Micros) -> bool {
+    now - known.state_since >= kept(known.state) - UNLISTED
 }
 
-fn key(entry: &Entry) -> Key {
-    let Known { state, sequence, keeper, .. } = entry.known;
-    Key { hash: entry.hash, state, sequence, keeper }
+fn key(entry: &Entry) -> RecordVersion {
+    let Instance { state, sequence, owner, .. } = entry.known;
+    RecordVersion { id_hash: entry.hash, state, sequence, owner }
 }
 
 fn bucket(hash: u64) -> usize {
     (hash >> 60) as usize
 }
 
-fn add(sums: &mut [u64; BUCKETS], hash: u64, known: &Known) {
+fn add(sums: &mut [u64; DIGEST_RANGES], hash: u64, known: &Instance) {
     let sum = &mut sums[bucket(hash)];
     *sum = sum.wrapping_add(mark(hash, known));
 }
 
-fn take(sums: &mut [u64; BUCKETS], hash: u64, known: &Known) {
+fn take(sums: &mut [u64; DIGEST_RANGES], hash: u64, known: &Instance) {
     let sum = &mut sums[bucket(hash)];
     *sum = sum.wrapping_sub(mark(hash, known));
 }
 
 /// One number for a view of a life: equal where `order` is.
-fn mark(hash: u64, known: &Known) -> u64 {
-    let (rank, sequence, silent, keeper) = order(known);
-    let keeper = keeper.map_or(0, |place| u64::from(place.0.to_bits()));
+fn mark(hash: u64, known: &Instance) -> u64 {
+    let (rank, sequence, silent, owner) = order(known);
+    let owner = owner.map_or(0, |place| u64::from(place.0.to_bits()));
     let state = u64::from(rank) << 1 | u64::from(silent);
-    mix(mix(mix(hash ^ state) ^ sequence) ^ keeper)
+    mix(mix(mix(hash ^ state) ^ sequence) ^ owner)
 }
 
 /// Of an id: the same on every node and in every build.
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,27 +1,27 @@
-//! Cast (instances): which instances there are, by their beats: lives, states, warm-up, addresses used again,
+//! Registry (instances): which instances there are, by their beats: lives, states, warm-up, addresses used again,
 //! silent ones, drains that others know of before they are acknowledged, copies compared by digests over
 //! ranges and mended from the newer. No I/O: time and events in, effects out.
 //!
-//! Hubs (prompters) take beats; the hub that took the last one is the instance's keeper. Records pass between
+//! Hubs (prompters) take beats; the hub that took the last one is the instance's owner. Records pass between
 //! nodes when something changed, never for each beat. `docs/cast.md` weighs the ways and tells what is promised.
 
-mod cast;
 mod drains;
-mod list;
+mod instance_table;
+mod node;
 
 use std::net::SocketAddrV4;
 
 use serde::{Deserialize, Serialize};
 use types::{CallId, FormatVersion, MS, Micros, NodeAddress, SECOND};
 
-pub use cast::Cast;
+pub use node::Registry;
 
 /// An instance's own id: one life of it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceId(pub String);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum State {
+pub enum InstanceState {
     InService,
     /// Said nothing for too long; a later beat brings it back.
     Silent,
@@ -30,10 +30,10 @@
     Gone,
 }
 
-impl State {
+impl InstanceState {
     /// Whether a life in this state is to get nothing more, ever.
-    pub fn leaving(self) -> bool {
-        matches!(self, State::Draining | State::Gone)
+    pub fn is_leaving(self) -> bool {
+        matches!(self, InstanceState::Draining | InstanceState::Gone)
     }
 }
 
@@ -41,42 +41,47 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// An instance that says nothing for longer is silent.
-    pub silent: Micros,
+    pub silence_timeout: Micros,
     /// A drain that others don't know of within this is answered `NotTaken`. Under the second that an
     /// instance waits, with room for the way there and back.
-    pub beat_answer: Micros,
+    pub drain_ack_timeout: Micros,
     /// A hub that a majority of the voters has not been in touch with for longer sends instances elsewhere: early
     /// enough for them to be taken by another hub before others call them silent.
-    pub contact: Micros,
+    pub contact_timeout: Micros,
     /// From one comparing with another node to the next, at least; up to two thirds more, by lot.
-    pub compare: Micros,
+    pub compare_interval: Micros,
     /// From one telling of a drain that nobody waits for any more to the next.
-    pub tell_again: Micros,
+    pub drain_resend_interval: Micros,
 }
 
 /// The `DrainS` that the usual spans keep: every node in reach knows an acknowledged drain within 2 s.
-const USUAL_DRAIN: Micros = 2_500 * MS;
+const DEFAULT_DRAIN_LIMIT: Micros = 2_500 * MS;
 
 impl Timing {
     /// For instances that beat once in `heartbeat`: two lost beats and a late third are forgiven.
-    pub fn of_heartbeat(heartbeat: Micros) -> Timing {
-        let silent = heartbeat.saturating_mul(26) / 10 + SECOND / 2;
-        let contact = (silent / 2).max(2 * SECOND);
-        Timing { silent, beat_answer: 800 * MS, contact, compare: 750 * MS, tell_again: 300 * MS }
+    pub fn for_heartbeat_interval(heartbeat: Micros) -> Timing {
+        let silence_timeout = heartbeat.saturating_mul(26) / 10 + SECOND / 2;
+        Timing {
+            silence_timeout,
+            drain_ack_timeout: 800 * MS,
+            contact_timeout: (silence_timeout / 2).max(2 * SECOND),
+            compare_interval: 750 * MS,
+            drain_resend_interval: 300 * MS,
+        }
     }
 
     /// For a deployment where nothing may be sent to a draining instance later than `drain` after the acknowledgement:
     /// all by which the last node learns of it comes sooner by as much, down to a quarter of the usual spans.
-    pub fn within(self, drain: Micros) -> Timing {
-        let drain = drain.clamp(USUAL_DRAIN / 4, USUAL_DRAIN);
-        let part = |span: Micros| span * drain / USUAL_DRAIN;
-        Timing { compare: part(750 * MS), tell_again: part(300 * MS), ..self }
+    pub fn for_drain_limit(self, drain_limit: Micros) -> Timing {
+        let drain_limit = drain_limit.clamp(DEFAULT_DRAIN_LIMIT / 4, DEFAULT_DRAIN_LIMIT);
+        let scaled = |interval: Micros| interval * drain_limit / DEFAULT_DRAIN_LIMIT;
+        Timing { compare_interval: scaled(750 * MS), drain_resend_interval: scaled(300 * MS), ..self }
     }
 }
 
 /// What a beat says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Beat {
+pub struct Heartbeat {
     pub id: InstanceId,
     pub service: String,
     pub address: SocketAddrV4,
@@ -98,8 +103,8 @@
     pub zone: String,
     pub version: String,
     pub slots: u32,
-    pub state: State,
-    /// Of the call that brought the last change; the keeper may have heard later ones.
+    pub state: InstanceState,
+    /// Of the call that brought the last change; the owner may have heard later ones.
     pub sequence: u64,
     /// How long ago its first beat came, when this was sent; how much longer it stays slow.
     pub age: Micros,
@@ -107,92 +112,91 @@
     /// How long ago it came into its state.
     pub state_age: Micros,
     /// The prompter that takes its beats, and alone says when it has fallen silent.
-    pub keeper: NodeAddress,
+    pub owner: NodeAddress,
 }
 
 /// An instance as this node knows it: a record with its spans as moments of the own steady clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct Instance {
     pub id: InstanceId,
     pub service: String,
     pub address: SocketAddrV4,
     pub zone: String,
     pub version: String,
     pub slots: u32,
-    pub state: State,
+    pub state: InstanceState,
     pub sequence: u64,
     /// When its first beat came to the system.
     pub first_seen: Micros,
     /// Until when it is slow; in the past once it is warm.
-    pub slow_until: Micros,
+    pub warm_at: Micros,
     /// When it came into its state.
-    pub since: Micros,
-    pub keeper: NodeAddress,
+    pub state_since: Micros,
+    pub owner: NodeAddress,
 }
 
 /// What two copies of one record are compared by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Key {
-    /// Of the id.
-    pub hash: u64,
-    pub state: State,
+pub struct RecordVersion {
+    pub id_hash: u64,
+    pub state: InstanceState,
     pub sequence: u64,
-    pub keeper: NodeAddress,
+    pub owner: NodeAddress,
 }
 
 /// Number of ranges that the hashes of ids are cut into for comparing.
-pub const BUCKETS: usize = 16;
+pub const DIGEST_RANGES: usize = 16;
 
 /// What nodes say to each other. Each takes at most about 1000 bytes by postcard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// What changed. A hub that is asked to `relay` hands what is new to it to the foyers that it serves.
-    News {
+    Update {
         relay: bool,
         records: Vec<Record>,
     },
     /// One that leaves; to be answered by `Heard` once it is known here.
-    Leaving {
+    DrainNotice {
         round: u64,
         record: Record,
     },
-    Heard {
+    DrainAck {
         round: u64,
     },
     /// One sum for each range. One who knows nothing at all says so, and gets everything.
     Digest {
-        sums: [u64; BUCKETS],
+        sums: [u64; DIGEST_RANGES],
         empty: bool,
     },
     /// To one who knows nothing: neither do I.
-    Nothing,
+    NothingKnown,
     /// What I have in ranges that differ; bits of `whole` name the ranges that are listed here completely.
-    Keys {
-        whole: u16,
-        keys: Vec<Key>,
+    Versions {
+        complete_ranges: u16,
+        versions: Vec<RecordVersion>,
     },
     /// Please give me these, by the hashes of their ids.
-    Want {
-        hashes: Vec<u64>,
+    Request {
+        id_hashes: Vec<u64>,
     },
     /// Mends what the other has older or lacks.
-    Give {
+    Records {
         records: Vec<Record>,
     },
 }
 
 impl Message {
     /// The form that brought this word: it is not sent to a node that reads less.
-    pub fn since(&self) -> FormatVersion {
+    pub fn introduced_in(&self) -> FormatVersion {
         match self {
-            Message::News { .. }
-            | Message::Leaving { .. }
-            | Message::Heard { .. }
+            Message::Update { .. }
+            | Message::DrainNotice { .. }
+            | Message::DrainAck { .. }
             | Message::Digest { .. }
-            | Message::Nothing
-            | Message::Keys { .. }
-            | Message::Want { .. }
-            | Message::Give { .. } => FormatVersion::V1,
+            | Message::NothingKnown
+            | Message::Versions { .. }
+            | Message::Request { .. }
+            | Message::Records { .. } => FormatVersion::V1,
         }
     }
 }
@@ -204,36 +208,36 @@
         from: NodeAddress,
         message: Message,
     },
-    Beat {
-        ask: CallId,
-        beat: Beat,
+    Heartbeat {
+        call: CallId,
+        heartbeat: Heartbeat,
     },
     Detach {
-        ask: CallId,
+        call: CallId,
         id: InstanceId,
     },
     /// Nodes that are up now; `hubs` are those that take beats (the own place among them tells this node
     /// that it is one; so does its first beat).
     Peers {
-        hubs: Vec<NodeAddress>,
-        others: Vec<NodeAddress>,
+        registry_nodes: Vec<NodeAddress>,
+        gateways: Vec<NodeAddress>,
     },
     /// At a hub: the foyers that have chosen it to be served by it, whatever the membership holds of them, and those that
     /// can't choose, as their programs are older. Until this is told, all foyers are taken for such.
-    Watched {
-        by: Vec<NodeAddress>,
-        unwatching: Vec<NodeAddress>,
+    Watchers {
+        watching: Vec<NodeAddress>,
+        unable_to_watch: Vec<NodeAddress>,
     },
     /// The ordered voters as they are now, in the log here; a hub that was told of none acknowledges no drain.
     Voters {
-        places: Vec<NodeAddress>,
+        addresses: Vec<NodeAddress>,
     },
     /// Datagrams to or from this node seem to be lost: it compares with hubs only, and twice as often.
-    Strained {
+    LinkStrained {
         strained: bool,
     },
     /// A majority of the voters was in touch with this hub at this moment of the own clock.
-    Proved {
+    MajorityContact {
         at: Micros,
     },
 }
@@ -241,7 +245,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// As the board's: what goes to this node for a while should not be left to datagrams.
-    Insist {
+    PreferStream {
         to: NodeAddress,
     },
     Send {
@@ -249,18 +253,18 @@
         message: Message,
     },
     /// The beat is acknowledged, with a place for later ones.
-    Taken {
-        ask: CallId,
+    Accepted {
+        call: CallId,
         target: Option<NodeAddress>,
     },
-    /// Not known to others in time, or out of bounds; the instance is to ask elsewhere.
-    NotTaken {
-        ask: CallId,
+    /// Not known to others in time, or out of bounds; the instance is to call elsewhere.
+    Rejected {
+        call: CallId,
     },
-    /// State, service, address, zone, version, slots or warm-up changed. One that is forgotten is shown as
+    /// InstanceState, service, address, zone, version, slots or warm-up changed. One that is forgotten is shown as
     /// `Gone` if it was not yet.
     Changed {
-        record: Known,
+        instance: Instance,
     },
 }
 
@@ -270,9 +274,9 @@
 /// Longest id, service, zone or version, in bytes; a record with all four at this length fits a message.
 const LONGEST_TEXT: usize = 128;
 
-impl Known {
+impl Instance {
     /// As it travels, at `now`.
-    pub fn record(&self, now: Micros) -> Record {
+    pub fn to_record(&self, now: Micros) -> Record {
         Record {
             id: self.id.clone(),
             service: self.service.clone(),
@@ -283,21 +287,21 @@
             state: self.state,
             sequence: self.sequence,
             age: (now - self.first_seen).max(0),
-            warmup_left: (self.slow_until - now).max(0),
-            state_age: (now - self.since).max(0),
-            keeper: self.keeper,
+            warmup_left: (self.warm_at - now).max(0),
+            state_age: (now - self.state_since).max(0),
+            owner: self.owner,
         }
     }
 
     /// Whether a driver that knew `self` has to be told of `next`.
-    fn differs(&self, next: &Known, now: Micros) -> bool {
+    fn differs(&self, next: &Instance, now: Micros) -> bool {
         self.state != next.state
             || self.address != next.address
             || self.slots != next.slots
             || self.service != next.service
             || self.version != next.version
             || self.zone != next.zone
-            || moved(self.slow_until, next.slow_until, now)
+            || moved(self.warm_at, next.warm_at, now)
     }
 }
 
@@ -309,10 +313,10 @@
 impl Record {
     /// As moments of the clock here, at `now`. One that is warm has been so for an unknown time: since its first beat
     /// for what is known, so that its age is never taken for the length of a warm-up.
-    fn known(self, now: Micros) -> Known {
+    fn into_instance(self, now: Micros) -> Instance {
         let first_seen = now - self.age.clamp(0, LONGEST);
         let warm = self.warmup_left <= 0;
-        Known {
+        Instance {
             id: self.id,
             service: self.service,
             address: self.address,
@@ -322,9 +326,9 @@
             state: self.state,
             sequence: self.sequence,
             first_seen,
-            slow_until: if warm { first_seen } else { now + self.warmup_left.clamp(0, LONGEST) },
-            since: now - self.state_age.clamp(0, LONGEST),
-            keeper: self.keeper,
+            warm_at: if warm { first_seen } else { now + self.warmup_left.clamp(0, LONGEST) },
+            state_since: now - self.state_age.clamp(0, LONGEST),
+            owner: self.owner,
         }
     }
 
@@ -343,7 +347,7 @@
     }
 }
 
-impl Beat {
+impl Heartbeat {
     fn fits(&self) -> bool {
         [&self.id.0, &self.service, &self.zone, &self.version].iter().all(|text| text.len() <= LONGEST_TEXT)
     }
--- a/crates/registry/src/cast.rs
+++ b/crates/registry/src/node.rs
@@ -1,16 +1,16 @@
 //! One node's part: beats and drains taken, news passed on, copies compared, silence judged.
 
-mod comparing;
+mod comparison;
 
 use indexmap::IndexMap;
 use oorandom::Rand32;
 use types::{CallId, MS, Micros, NodeAddress, SECOND};
 
-use comparing::Comparison;
+use comparison::Comparison;
 
 use crate::drains::{MOST_ROUNDS, Need, Round};
-use crate::list::{Heard, Learnt, List};
-use crate::{Beat, Effect, Event, InstanceId, Known, Message, Record, State, Timing};
+use crate::instance_table::{Heard, Learnt, List};
+use crate::{Effect, Event, Heartbeat, Instance, InstanceId, InstanceState, Message, Record, Timing};
 
 /// Up to this many other nodes, news goes to each directly; beyond, each hub tells the foyers that watch it.
 const SMALL: usize = 24;
@@ -25,7 +25,7 @@
 const PASSED_TO: usize = 3;
 /// A drain that is found by comparing copies is passed on while it is younger.
 const FRESH: Micros = 3 * SECOND;
-/// Between two comparisons by chance up to so many thousandths of `Timing::compare` more.
+/// Between two comparisons by chance up to so many thousandths of `Timing::compare_interval` more.
 const COMPARE_SPREAD: u32 = 667;
 /// One that starts with nothing asks this often, so many times.
 const FIRST_ASK: Micros = 250 * MS;
@@ -48,7 +48,7 @@
 const PIECE: usize = 930;
 /// Which instances there are, as one node knows it.
 #[derive(Debug)]
-pub struct Cast {
+pub struct Registry {
     own: NodeAddress,
     timing: Timing,
     rng: Rand32,
@@ -86,7 +86,7 @@
     compare_at: Micros,
     /// At a foyer.
     comparison: Option<Comparison>,
-    /// How often one that starts with nothing will still ask for everything.
+    /// How often one that starts with nothing will still call for everything.
     first_asks: u32,
     /// Another hub that is to get the next instance, for balance.
     shed_to: Option<NodeAddress>,
@@ -98,13 +98,13 @@
     strained: bool,
 }
 
-impl Cast {
+impl Registry {
     /// A node that knows nothing yet.
-    pub fn start(own: NodeAddress, timing: Timing, seed: u64, now: Micros) -> Cast {
+    pub fn new(own: NodeAddress, timing: Timing, seed: u64, now: Micros) -> Registry {
         let mut rng = Rand32::new(seed);
         // Answers to the rounds of an earlier life must not count for this one's.
         let next_round = u64::from(rng.rand_u32()) << 24;
-        Cast {
+        Registry {
             own,
             timing,
             rng,
@@ -142,32 +142,32 @@
     /// What a hub knew before its start, from its disk; to be called right after `start`. It is used at once, as
     /// most of it still holds where all hubs were away for a moment, and what others know anew wins over it.
     /// Guards against a second without any instance after a start of all.
-    pub fn remember(&mut self, now: Micros, records: Vec<Record>) -> Vec<Effect> {
+    pub fn restore(&mut self, now: Micros, records: Vec<Record>) -> Vec<Effect> {
         let mut learnt = Learnt::default();
         for record in records {
             self.list.remember(now, self.own, record, &mut learnt);
         }
         self.remembered_until = now + REMEMBERED;
-        learnt.shown.into_iter().map(|record| Effect::Changed { record }).collect()
+        learnt.shown.into_iter().map(|instance| Effect::Changed { instance }).collect()
     }
 
     /// What to remember, as of `now`.
-    pub fn memory(&self, now: Micros) -> Vec<Record> {
+    pub fn snapshot(&self, now: Micros) -> Vec<Record> {
         self.list.all(now)
     }
 
     /// Rises whenever `memory` has become another by more than the time that goes by.
-    pub fn changes(&self) -> u64 {
+    pub fn revision(&self) -> u64 {
         self.list.changes()
     }
 
     /// Spreads what it knows as fast as a deployment with this `DrainS` wants.
-    pub fn spread_within(&mut self, drain: Micros) {
-        self.timing = self.timing.within(drain);
+    pub fn set_drain_limit(&mut self, drain: Micros) {
+        self.timing = self.timing.for_drain_limit(drain);
     }
 
     /// What others may not know yet: leaving lives that were not heard of by all in reach, changes not told.
-    pub fn untold(&self) -> usize {
+    pub fn pending_updates(&self) -> usize {
         self.rounds.len() + self.wide.len() + self.share.len() + self.few.len()
     }
 
@@ -178,20 +178,20 @@
         match event {
             Event::Tick => {}
             Event::Received { from, message } => self.received(now, from, message, &mut out),
-            Event::Beat { ask, beat } => self.beat(now, ask, beat, &mut out),
-            Event::Detach { ask, id } => self.detach(now, ask, id, &mut out),
-            Event::Peers { hubs, others } => self.peers(now, hubs, others),
-            Event::Watched { by, unwatching } => self.watched(by, unwatching),
-            Event::Voters { places } => self.voters(now, places),
-            Event::Strained { strained } => self.strained(now, strained),
-            Event::Proved { at } => self.proved = self.proved.max(at),
+            Event::Heartbeat { call, heartbeat: beat } => self.beat(now, call, beat, &mut out),
+            Event::Detach { call, id } => self.detach(now, call, id, &mut out),
+            Event::Peers { registry_nodes: hubs, gateways: others } => self.peers(now, hubs, others),
+            Event::Watchers { watching: by, unable_to_watch: unwatching } => self.watched(by, unwatching),
+            Event::Voters { addresses: places } => self.voters(now, places),
+            Event::LinkStrained { strained } => self.strained(now, strained),
+            Event::MajorityContact { at } => self.proved = self.proved.max(at),
         }
         self.work(now, &mut out);
         out
     }
 
     /// When `Event::Tick` is wanted next, at the latest.
-    pub fn due(&self) -> Micros {
+    pub fn next_due(&self) -> Micros {
         let rounds = self.rounds.iter().map(Round::due).min().unwrap_or(Micros::MAX);
         let comparison = self.comparison.as_ref().map_or(Micros::MAX, |comparison| comparison.until);
         let due = self.sweep_at.min(self.remembered_until).min(self.compare_at).min(self.flush_at);
@@ -199,16 +199,16 @@
     }
 
     /// All that are known, those that are gone for a while too.
-    pub fn records(&self) -> impl Iterator<Item = &Known> {
+    pub fn instances(&self) -> impl Iterator<Item = &Instance> {
         self.list.entries().map(|entry| &entry.known)
     }
 
-    pub fn get(&self, id: &InstanceId) -> Option<&Known> {
+    pub fn get(&self, id: &InstanceId) -> Option<&Instance> {
         self.list.get(id).map(|entry| &entry.known)
     }
 
     /// Whether this node has got the list from another one, or has asked long enough.
-    pub fn has_asked(&self) -> bool {
+    pub fn initial_sync_done(&self) -> bool {
         self.first_asks == 0
     }
 
@@ -216,13 +216,13 @@
     fn notice_stall(&mut self, now: Micros) {
         let stood = now - self.last_step;
         self.last_step = now.max(self.last_step);
-        if stood < STALL.min(self.timing.silent) {
+        if stood < STALL.min(self.timing.silence_timeout) {
             return;
         }
         self.watch_from = now;
         self.absent.values_mut().for_each(|since| *since = now);
         self.compare_at = now;
-        if stood >= self.timing.silent {
+        if stood >= self.timing.silence_timeout {
             self.mute_until = now + THAW;
         }
     }
@@ -295,63 +295,63 @@
 
     /// Whether a majority has not been in touch for so long that beats are to go elsewhere.
     fn cut_off(&self, now: Micros) -> bool {
-        now - self.proved.min(self.few_since.unwrap_or(now)) > self.timing.contact
+        now - self.proved.min(self.few_since.unwrap_or(now)) > self.timing.contact_timeout
     }
 
-    fn beat(&mut self, now: Micros, ask: CallId, beat: Beat, out: &mut Vec<Effect>) {
+    fn beat(&mut self, now: Micros, call: CallId, beat: Heartbeat, out: &mut Vec<Effect>) {
         self.hub = true;
         let mut learnt = Learnt::default();
         if now < self.mute_until
             || !beat.fits()
             || self.list.hear(now, self.own, &beat, &mut learnt) == Heard::Full
         {
-            return out.push(Effect::NotTaken { ask });
+            return out.push(Effect::Rejected { call });
         }
         if beat.draining {
             self.spread(now, learnt, Some(&beat.id), out);
-            return self.leaves(now, ask, beat.id, out);
+            return self.leaves(now, call, beat.id, out);
         }
         self.spread(now, learnt, None, out);
         if self.cut_off(now) {
             // It was heard, and so is not silent here: where nobody has a majority, the list stays as it is. But
             // others may not hear of it, so it is sent on to look for a hub that they do hear.
-            return out.push(Effect::NotTaken { ask });
+            return out.push(Effect::Rejected { call });
         }
         let mut target = self.own;
         if let (Some(other), Some(entry)) = (self.shed_to, self.list.get_mut(&beat.id))
-            && entry.known.state == State::InService
+            && entry.known.state == InstanceState::InService
             && entry.moved.is_none_or(|moved| now - moved >= MOVES)
         {
             entry.moved = Some(now);
             self.shed_to = None;
             target = other;
         }
-        out.push(Effect::Taken { ask, target: Some(target) });
+        out.push(Effect::Accepted { call, target: Some(target) });
     }
 
-    fn detach(&mut self, now: Micros, ask: CallId, id: InstanceId, out: &mut Vec<Effect>) {
+    fn detach(&mut self, now: Micros, call: CallId, id: InstanceId, out: &mut Vec<Effect>) {
         self.hub = true;
         let mut learnt = Learnt::default();
         if id.0.len() > crate::LONGEST_TEXT || !self.list.detach(now, self.own, &id, &mut learnt) {
-            return out.push(Effect::NotTaken { ask });
+            return out.push(Effect::Rejected { call });
         }
         // Where it is confirmed that others know it to be draining, they get this as ordinary news.
         let confirmed = self.list.get(&id).is_some_and(|entry| entry.confirmed);
         self.spread(now, learnt, Some(&id).filter(|_| !confirmed), out);
-        self.leaves(now, ask, id, out);
+        self.leaves(now, call, id, out);
     }
 
     /// Acknowledges that a life leaves, at once where enough others are known to know, else after a round.
-    fn leaves(&mut self, now: Micros, ask: CallId, id: InstanceId, out: &mut Vec<Effect>) {
+    fn leaves(&mut self, now: Micros, call: CallId, id: InstanceId, out: &mut Vec<Effect>) {
         if self.list.get(&id).is_none_or(|entry| entry.confirmed) {
-            return out.push(Effect::Taken { ask, target: Some(self.own) });
+            return out.push(Effect::Accepted { call, target: Some(self.own) });
         }
         let round = self.round(now, &id);
         let known = !self.voters.is_empty();
-        let until = now + self.timing.beat_answer;
+        let until = now + self.timing.drain_ack_timeout;
         // What was heard is told on in any case.
-        if !known || !round.is_some_and(|round| self.rounds[round].join(ask, until)) {
-            out.push(Effect::NotTaken { ask });
+        if !known || !round.is_some_and(|round| self.rounds[round].join(call, until)) {
+            out.push(Effect::Rejected { call });
         }
     }
 
@@ -376,19 +376,21 @@
 
     fn received(&mut self, now: Micros, from: NodeAddress, message: Message, out: &mut Vec<Effect>) {
         match message {
-            Message::News { relay, records } => self.news(now, relay, records, out),
-            Message::Leaving { round, record } => self.told_leaving(now, from, round, record, out),
-            Message::Heard { round } => {
+            Message::Update { relay, records } => self.news(now, relay, records, out),
+            Message::DrainNotice { round, record } => self.told_leaving(now, from, round, record, out),
+            Message::DrainAck { round } => {
                 let told = self.told();
                 if let Some(round) = self.rounds.iter_mut().find(|known| known.number == round) {
                     round.heard(from, &told);
                 }
             }
             Message::Digest { sums, empty } => self.digest(now, from, &sums, empty, out),
-            Message::Nothing => {}
-            Message::Keys { whole, keys } => self.keys(now, from, whole, &keys, out),
-            Message::Want { hashes } => give(from, self.list.wanted(now, &hashes), out),
-            Message::Give { records } => {
+            Message::NothingKnown => {}
+            Message::Versions { complete_ranges, versions } => {
+                self.keys(now, from, complete_ranges, &versions, out)
+            }
+            Message::Request { id_hashes } => give(from, self.list.wanted(now, &id_hashes), out),
+            Message::Records { records } => {
                 self.first_asks = 0;
                 let mut learnt = Learnt::default();
                 for record in records {
@@ -416,8 +418,8 @@
         let mut learnt = Learnt::default();
         self.list.merge(now, self.own, record, &mut learnt);
         self.pass_on(now, learnt, true, out);
-        if self.list.get(&id).is_some_and(|entry| entry.known.state.leaving()) {
-            out.push(Effect::Send { to: from, message: Message::Heard { round } });
+        if self.list.get(&id).is_some_and(|entry| entry.known.state.is_leaving()) {
+            out.push(Effect::Send { to: from, message: Message::DrainAck { round } });
         }
     }
 
@@ -427,7 +429,7 @@
     fn pass_on(&mut self, now: Micros, learnt: Learnt, relay: bool, out: &mut Vec<Effect>) {
         let relays = self.hub && !self.small();
         for (id, leaves) in learnt.news {
-            let young = |entry: &crate::list::Entry| now - entry.known.since < FRESH;
+            let young = |entry: &crate::instance_table::Entry| now - entry.known.state_since < FRESH;
             let leaves = leaves && self.list.get(&id).is_some_and(young);
             if leaves {
                 self.few.push(id.clone());
@@ -442,7 +444,7 @@
             self.wide.extend(learnt.again);
             self.flush_at = self.flush_at.min(now + GATHER);
         }
-        out.extend(learnt.shown.into_iter().map(|record| Effect::Changed { record }));
+        out.extend(learnt.shown.into_iter().map(|instance| Effect::Changed { instance }));
     }
 
     /// What began here: told to all, save the one that gets a round of its own.
@@ -453,7 +455,7 @@
                 self.flush_at = self.flush_at.min(now + GATHER);
             }
         }
-        out.extend(learnt.shown.into_iter().map(|record| Effect::Changed { record }));
+        out.extend(learnt.shown.into_iter().map(|instance| Effect::Changed { instance }));
     }
 
     /// Does what is due at `now`.
@@ -489,17 +491,17 @@
                     entry.confirmed = true;
                 }
                 let target = Some(self.own);
-                out.extend(asks.into_iter().map(|ask| Effect::Taken { ask, target }));
+                out.extend(asks.into_iter().map(|call| Effect::Accepted { call, target }));
             }
-            out.extend(round.take_late(now).into_iter().map(|ask| Effect::NotTaken { ask }));
-            let to = round.take_send(now, &told, self.timing.tell_again);
+            out.extend(round.take_late(now).into_iter().map(|call| Effect::Rejected { call }));
+            let to = round.take_send(now, &told, self.timing.drain_resend_interval);
             if let Some(entry) = self.list.get(&round.id).filter(|_| !to.is_empty()) {
-                let record = entry.known.record(now);
+                let record = entry.known.to_record(now);
                 for to in to {
                     if round.insists(to) {
-                        out.push(Effect::Insist { to });
+                        out.push(Effect::PreferStream { to });
                     }
-                    let message = Message::Leaving { round: round.number, record: record.clone() };
+                    let message = Message::DrainNotice { round: round.number, record: record.clone() };
                     out.push(Effect::Send { to, message });
                 }
             }
@@ -548,25 +550,25 @@
     fn sweep(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let mut shown = Vec::new();
         self.list.forget(now, &mut shown);
-        out.extend(shown.into_iter().map(|record| Effect::Changed { record }));
+        out.extend(shown.into_iter().map(|instance| Effect::Changed { instance }));
         if !self.hub {
             return;
         }
         let patience = self.patience();
         let mut quiet = Vec::new();
         for entry in self.list.entries() {
-            let Known { id, state, keeper, .. } = &entry.known;
-            if !matches!(state, State::InService | State::Draining) {
+            let Instance { id, state, owner, .. } = &entry.known;
+            if !matches!(state, InstanceState::InService | InstanceState::Draining) {
                 continue;
             }
-            let over = if *keeper == self.own {
-                now - entry.heard.max(self.watch_from) > self.timing.silent
-            } else if self.hubs.contains(keeper) {
+            let over = if *owner == self.own {
+                now - entry.heard.max(self.watch_from) > self.timing.silence_timeout
+            } else if self.hubs.contains(owner) {
                 false
             } else {
-                let since = *self.absent.entry(*keeper).or_insert(now);
-                // Newer word of it shows that its keeper is there for others. Guards against a hub that holds a
-                // keeper gone which is not, and would call its instances silent again after each correction.
+                let since = *self.absent.entry(*owner).or_insert(now);
+                // Newer word of it shows that its owner is there for others. Guards against a hub that holds a
+                // owner gone which is not, and would call its instances silent again after each correction.
                 now - since.max(self.watch_from).max(entry.told) > patience
             };
             if over {
@@ -574,7 +576,7 @@
             }
         }
         let list = &self.list;
-        self.absent.retain(|place, _| list.entries().any(|entry| entry.known.keeper == *place));
+        self.absent.retain(|place, _| list.entries().any(|entry| entry.known.owner == *place));
         let mut learnt = Learnt::default();
         for id in quiet {
             self.list.quiet(now, self.own, &id, &mut learnt);
@@ -594,9 +596,9 @@
             self.tell_stale_again(now);
             return;
         }
-        let mine = |known: &Known| known.keeper == self.own || !self.hubs.contains(&known.keeper);
+        let mine = |known: &Instance| known.owner == self.own || !self.hubs.contains(&known.owner);
         let stale = self.list.entries().filter(|entry| entry.remembered && mine(&entry.known));
-        let stale = stale.filter(|entry| entry.known.state == State::InService);
+        let stale = stale.filter(|entry| entry.known.state == InstanceState::InService);
         let stale: Vec<InstanceId> = stale.map(|entry| entry.known.id.clone()).collect();
         let mut learnt = Learnt::default();
         for id in &stale {
@@ -617,13 +619,13 @@
         }
     }
 
-    /// How long a keeper has to be away before this hub speaks for it: hubs one after the other, and those
+    /// How long a owner has to be away before this hub speaks for it: hubs one after the other, and those
     /// that see fewer than half of the hubs there were last, as after a cut, much later.
     fn patience(&self) -> Micros {
         let rank = self.hubs.iter().filter(|place| **place < self.own).count() as Micros;
         let absent = self.absent.len();
         let cut_off = absent > self.hubs.len() + 1;
-        self.timing.silent * if cut_off { 3 } else { 1 } + rank * 100 * MS
+        self.timing.silence_timeout * if cut_off { 3 } else { 1 } + rank * 100 * MS
     }
 
     /// Chooses a hub that gets an instance where this one has far more than its share.
@@ -631,11 +633,11 @@
         self.shed_to = None;
         let mut loads: IndexMap<NodeAddress, usize> = self.hubs.iter().map(|place| (*place, 0)).collect();
         let (mut mine, mut all) = (0, 0);
-        for entry in self.list.entries().filter(|entry| entry.known.state == State::InService) {
+        for entry in self.list.entries().filter(|entry| entry.known.state == InstanceState::InService) {
             all += 1;
-            if entry.known.keeper == self.own {
+            if entry.known.owner == self.own {
                 mine += 1;
-            } else if let Some(load) = loads.get_mut(&entry.known.keeper) {
+            } else if let Some(load) = loads.get_mut(&entry.known.owner) {
                 *load += 1;
             }
         }
@@ -688,14 +690,14 @@
 }
 
 fn give(to: NodeAddress, records: Vec<Record>, out: &mut Vec<Effect>) {
-    let gives = pieces(records).into_iter().map(|records| Message::Give { records });
+    let gives = pieces(records).into_iter().map(|records| Message::Records { records });
     out.extend(gives.map(|message| Effect::Send { to, message }));
 }
 
 fn tell(to: &[NodeAddress], pieces: &[Vec<Record>], relay: bool, out: &mut Vec<Effect>) {
     for to in to {
         for records in pieces {
-            let message = Message::News { relay, records: records.clone() };
+            let message = Message::Update { relay, records: records.clone() };
             out.push(Effect::Send { to: *to, message });
         }
     }
--- a/crates/registry/src/cast/comparing.rs
+++ b/crates/registry/src/node/comparison.rs
@@ -3,8 +3,8 @@
 
 use types::{MS, Micros, NodeAddress};
 
-use super::{COMPARE_SPREAD, Cast, FIRST_ASK, FIRST_ASKS, GATHER, give};
-use crate::{Effect, Key, Message};
+use super::{COMPARE_SPREAD, FIRST_ASK, FIRST_ASKS, GATHER, Registry, give};
+use crate::{Effect, Message, RecordVersion};
 
 /// A hub answers a foyer's comparison, and gives what is asked for after it, within this by datagram; else it is compared
 /// with by stream, for which there is more time. Guards against a foyer at a full link that takes silence for a copy that is
@@ -27,17 +27,17 @@
 }
 
 /// The answer to a comparison of copies that are alike.
-const ALIKE: Message = Message::Keys { whole: 0, keys: Vec::new() };
+const ALIKE: Message = Message::Versions { complete_ranges: 0, versions: Vec::new() };
 
-impl Cast {
+impl Registry {
     pub(super) fn digest(
-        &mut self, now: Micros, from: NodeAddress, sums: &[u64; crate::BUCKETS], empty: bool,
+        &mut self, now: Micros, from: NodeAddress, sums: &[u64; crate::DIGEST_RANGES], empty: bool,
         out: &mut Vec<Effect>,
     ) {
         if empty {
             let all = self.list.all(now);
             if all.is_empty() {
-                out.push(Effect::Send { to: from, message: Message::Nothing });
+                out.push(Effect::Send { to: from, message: Message::NothingKnown });
             }
             return give(from, all, out);
         }
@@ -45,31 +45,31 @@
         if unlike.is_empty() && !self.hubs.contains(&from) {
             out.push(Effect::Send { to: from, message: ALIKE });
         }
-        let mut gathered: (u16, Vec<Key>) = (0, Vec::new());
+        let mut gathered: (u16, Vec<RecordVersion>) = (0, Vec::new());
         for (range, keys) in unlike {
             if keys.len() > KEYS {
                 // Too many for one message: listed in parts, none of which is the whole range.
                 for part in keys.chunks(KEYS) {
-                    let message = Message::Keys { whole: 0, keys: part.to_vec() };
+                    let message = Message::Versions { complete_ranges: 0, versions: part.to_vec() };
                     out.push(Effect::Send { to: from, message });
                 }
                 continue;
             }
             if gathered.1.len() + keys.len() > KEYS {
-                let (whole, keys) = std::mem::take(&mut gathered);
-                out.push(Effect::Send { to: from, message: Message::Keys { whole, keys } });
+                let (complete_ranges, versions) = std::mem::take(&mut gathered);
+                out.push(Effect::Send { to: from, message: Message::Versions { complete_ranges, versions } });
             }
             gathered.0 |= 1 << range;
             gathered.1.extend(keys);
         }
         if gathered.0 != 0 {
-            let (whole, keys) = gathered;
-            out.push(Effect::Send { to: from, message: Message::Keys { whole, keys } });
+            let (complete_ranges, versions) = gathered;
+            out.push(Effect::Send { to: from, message: Message::Versions { complete_ranges, versions } });
         }
     }
 
     pub(super) fn keys(
-        &mut self, now: Micros, from: NodeAddress, whole: u16, keys: &[Key], out: &mut Vec<Effect>,
+        &mut self, now: Micros, from: NodeAddress, whole: u16, keys: &[RecordVersion], out: &mut Vec<Effect>,
     ) {
         // One that knows nothing has asked for everything, which keys never answer: they are for an earlier life
         // here, and what they lead to is no whole list.
@@ -80,7 +80,7 @@
         self.keys_came(now, from, !want.is_empty());
         give(from, records, out);
         for part in want.chunks(HASHES) {
-            out.push(Effect::Send { to: from, message: Message::Want { hashes: part.to_vec() } });
+            out.push(Effect::Send { to: from, message: Message::Request { id_hashes: part.to_vec() } });
         }
     }
 
@@ -108,7 +108,7 @@
         if gives {
             return self.begin_comparison(now, with, false, out);
         }
-        out.push(Effect::Insist { to: with });
+        out.push(Effect::PreferStream { to: with });
         if again || !self.hubs.contains(&with) {
             self.compare_at = now;
             return;
@@ -131,7 +131,7 @@
         let wait = if first {
             FIRST_ASK
         } else {
-            self.timing.compare + self.chance(COMPARE_SPREAD) * self.timing.compare / 1000
+            self.timing.compare_interval + self.chance(COMPARE_SPREAD) * self.timing.compare_interval / 1000
         };
         self.compare_at = now + if self.strained { wait / 2 } else { wait };
         // Foyers that begin at the same time know no more than this one.
--- a/crates/rehearsal/src/plant.rs
+++ b/crates/rehearsal/src/plant.rs
@@ -3,7 +3,7 @@
 
 use consensus::{Members, Message as Book, Saved, What, Word as Said, Write};
 use playhouse::house::{Word, opened};
-use registry::{Message, State};
+use registry::{InstanceState, Message};
 use serde::{Deserialize, Serialize};
 use types::{LogIndex, VoterId};
 
@@ -274,10 +274,10 @@
             return false;
         }
         match word {
-            Word::Cast(Message::Leaving { .. }) => true,
-            Word::Cast(Message::News { records, .. } | Message::Give { records }) => {
-                records.iter().any(|record| matches!(record.state, State::Draining | State::Gone))
-            }
+            Word::Cast(Message::DrainNotice { .. }) => true,
+            Word::Cast(Message::Update { records, .. } | Message::Records { records }) => records
+                .iter()
+                .any(|record| matches!(record.state, InstanceState::Draining | InstanceState::Gone)),
             _ => false,
         }
     }
--- a/crates/rehearsal/src/world/instances.rs
+++ b/crates/rehearsal/src/world/instances.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
-use registry::{Beat, InstanceId};
+use registry::{Heartbeat, InstanceId};
 use types::{MS, Micros, NodeAddress, SECOND};
 
 use super::operators::{Call, Caller, Reply, Who};
@@ -134,7 +134,7 @@
         let lies = one.odd_now(self.now) == Some(Odd::Lying);
         let warmup_left = if lies { 0 } else { (one.born + WARMUP - self.now).max(0) };
         let slots = self.scenario.site.slots * if lies { 20 } else { 1 };
-        let beat = Beat {
+        let beat = Heartbeat {
             id: InstanceId(one.id.clone()),
             service: texts::service(one.service),
             address: one.address,
--- a/crates/rehearsal/src/world/operators.rs
+++ b/crates/rehearsal/src/world/operators.rs
@@ -6,7 +6,7 @@
 
 use configuration::Bill;
 use control_state::{Command, State};
-use registry::{Beat, InstanceId};
+use registry::{Heartbeat, InstanceId};
 use simd_json::OwnedValue;
 use types::{ConfigVersion, MS, Micros, NodeAddress, SECOND};
 
@@ -35,7 +35,7 @@
     Order(Command),
     Read,
     Rollout(String),
-    Beat(Beat),
+    Beat(Heartbeat),
     Detach(InstanceId),
 }
 
--- a/crates/transport/src/disk.rs
+++ b/crates/transport/src/disk.rs
@@ -26,7 +26,7 @@
 const MAGIC: &[u8] = b"redb\x1a\x0a\xa9\x0d\x0a";
 
 /// The few things a store asks of a directory; tests put one below it that loses power.
-pub trait Folder: Send {
+pub trait Directory: Send {
     type File: StorageBackend;
 
     /// Opens a file if there is one.
@@ -41,9 +41,9 @@
 
 /// A directory of the file system.
 #[derive(Debug)]
-pub struct DirFolder(PathBuf);
+pub struct FsDirectory(PathBuf);
 
-impl Folder for DirFolder {
+impl Directory for FsDirectory {
     type File = FileBackend;
 
     fn open(&self, name: &str) -> io::Result<Option<FileBackend>> {
@@ -70,24 +70,24 @@
 }
 
 /// A store in one file of a directory. Each batch is one transaction with one sync before it returns.
-pub struct DiskStore<F: Folder = DirFolder> {
+pub struct DiskStore<F: Directory = FsDirectory> {
     folder: F,
     /// None after a failure: what is on disk is unknown then, and the file is made anew before it is used.
     database: Option<Database>,
 }
 
-impl DiskStore<DirFolder> {
+impl DiskStore<FsDirectory> {
     /// Opens the store in `dir`, or makes an empty one there. Fails with `Damaged` where the file can't be
     /// read: it may hold what was acknowledged, so nothing is begun over it.
     pub fn open(dir: &Path) -> Result<Self, StoreError> {
         fs::create_dir_all(dir).map_err(|e| failed("making the data directory", &e))?;
-        Self::over(DirFolder(dir.to_owned()))
+        Self::open_in(FsDirectory(dir.to_owned()))
     }
 
     /// Puts a damaged file out of the way, so that the next `open` begins an empty store: the disk then has a
     /// new life, and nothing it promised in the one before is expected of it.
     pub fn set_aside(dir: &Path) -> Result<(), StoreError> {
-        Self::set_aside_in(&DirFolder(dir.to_owned()))
+        Self::set_aside_in(&FsDirectory(dir.to_owned()))
     }
 
     /// Whether a damaged file was ever put out of the way in `dir`: the disk then has been in use before, even
@@ -97,9 +97,9 @@
     }
 }
 
-impl<F: Folder> DiskStore<F> {
+impl<F: Directory> DiskStore<F> {
     /// As `open`, over any folder.
-    pub fn over(folder: F) -> Result<Self, StoreError> {
+    pub fn open_in(folder: F) -> Result<Self, StoreError> {
         let database = open_anew(&folder)?;
         Ok(Self { folder, database: Some(database) })
     }
@@ -124,7 +124,7 @@
     }
 }
 
-impl<F: Folder> Store for DiskStore<F> {
+impl<F: Directory> Store for DiskStore<F> {
     fn put(&mut self, batch: &Batch) -> Result<(), StoreError> {
         self.with("writing", |database| write(database, batch))
     }
@@ -134,17 +134,17 @@
     }
 }
 
-impl<F: Folder> fmt::Debug for DiskStore<F> {
+impl<F: Directory> fmt::Debug for DiskStore<F> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("DiskStore").field("in_doubt", &self.database.is_none()).finish()
     }
 }
 
-/// Opens what is there and writes it to a new file, which takes its place; or makes an empty one. Done at
+/// Opens what is there and writes it to a new file, which takes its place; or makes an empty one. WriteOutcome at
 /// every start and after every failure, since a sync may have failed, in this process or in one that was
 /// killed: pages the system then counts as written are not on the disk, can still be read, and no later sync
 /// writes them.
-fn open_anew<F: Folder>(folder: &F) -> Result<Database, StoreError> {
+fn open_anew<F: Directory>(folder: &F) -> Result<Database, StoreError> {
     let mut batch = Batch::default();
     if let Some(file) = folder.open(NAME).map_err(|e| failed("opening", &e))? {
         if let Some(version) = newer(&file).map_err(|e| failed("opening", &e))? {
--- a/crates/transport/src/hand.rs
+++ b/crates/transport/src/disk_writer.rs
@@ -26,25 +26,25 @@
 /// What became of a write. `ok: false` says that it is not known to be on disk; unless it was refused, it
 /// stays in line, before all later ones, and `ok: true` follows once it is there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Done {
-    pub no: WriteNo,
-    pub ok: bool,
+pub struct WriteOutcome {
+    pub write_no: WriteNo,
+    pub durable: bool,
 }
 
 /// Owns the thread that owns the ledger. Dropped, it lets the thread finish what waits.
 #[derive(Debug)]
-pub struct DiskHand<S> {
+pub struct DiskWriter<S> {
     queue: SyncSender<Write>,
-    done: mpsc::UnboundedSender<Done>,
+    done: mpsc::UnboundedSender<WriteOutcome>,
     thread: JoinHandle<Ledger<S>>,
     /// A write was refused, here or by the thread: later ones would leave a gap, so they are refused too.
     refusing: Arc<AtomicBool>,
 }
 
-impl<S: Store + 'static> DiskHand<S> {
+impl<S: Store + 'static> DiskWriter<S> {
     /// Starts the thread. Each write is answered in the receiver: at once when it is refused, else when its
     /// batch is durable, and before that with `ok: false` when the disk fails.
-    pub fn start(ledger: Ledger<S>) -> io::Result<(Self, mpsc::UnboundedReceiver<Done>)> {
+    pub fn start(ledger: Ledger<S>) -> io::Result<(Self, mpsc::UnboundedReceiver<WriteOutcome>)> {
         let (queue, waiting) = sync_channel(WAITING);
         let (done, dones) = mpsc::unbounded_channel();
         let answers = done.clone();
@@ -61,9 +61,9 @@
     /// full, or an earlier one was refused. Likewise, after a write that does not fit the ledger, that one
     /// and all later ones are answered `ok: false` for good. The ledger then is to be opened anew: what it
     /// holds is sound, but it lacks writes that the caller has made.
-    pub fn write(&mut self, write: Write) -> bool {
+    pub fn submit(&mut self, write: Write) -> bool {
         let no = write.no;
-        if !self.refuses() {
+        if !self.is_rejecting() {
             match self.queue.try_send(write) {
                 Ok(()) => return true,
                 Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
@@ -72,13 +72,13 @@
             }
         }
         // The receiver may be gone, and then nobody asks.
-        let _ = self.done.send(Done { no, ok: false });
+        let _ = self.done.send(WriteOutcome { write_no: no, durable: false });
         false
     }
 
     /// Whether writes are refused for good, until the ledger is opened anew. A disk that fails is no such
     /// case: what it was handed stays in line.
-    pub fn refuses(&self) -> bool {
+    pub fn is_rejecting(&self) -> bool {
         self.refusing.load(Ordering::Relaxed)
     }
 
@@ -92,7 +92,7 @@
 struct Worker<S> {
     ledger: Ledger<S>,
     waiting: Receiver<Write>,
-    answers: mpsc::UnboundedSender<Done>,
+    answers: mpsc::UnboundedSender<WriteOutcome>,
     /// Set before a write that does not fit is answered.
     misfit: Arc<AtomicBool>,
 }
@@ -178,7 +178,7 @@
     fn answer(&self, writes: &[Write], ok: bool) {
         for write in writes {
             // The receiver may be gone, and then nobody asks.
-            let _ = self.answers.send(Done { no: write.no, ok });
+            let _ = self.answers.send(WriteOutcome { write_no: write.no, durable: ok });
         }
     }
 }
--- a/crates/transport/src/note.rs
+++ b/crates/transport/src/latest_value_file.rs
@@ -23,11 +23,11 @@
 type Shared = Arc<(Mutex<Slot>, Condvar)>;
 
 /// Owns the thread that writes. Dropped, it lets the thread finish the newest value.
-pub struct NoteHand(Shared, Option<JoinHandle<()>>);
+pub struct LatestValueFile(Shared, Option<JoinHandle<()>>);
 
-impl NoteHand {
+impl LatestValueFile {
     /// Reads what is kept in `dir/name`, and starts the thread.
-    pub fn start(dir: &Path, name: &str) -> io::Result<(NoteHand, Option<Vec<u8>>)> {
+    pub fn start(dir: &Path, name: &str) -> io::Result<(LatestValueFile, Option<Vec<u8>>)> {
         let path = dir.join(name);
         let kept = match fs::read(&path) {
             Ok(value) => note::open(&value).map(<[u8]>::to_vec).or_else(|| {
@@ -46,11 +46,11 @@
             .name("note-hand".into())
             .stack_size(STACK_BYTES)
             .spawn(move || run(&slot, &dir, &path))?;
-        Ok((NoteHand(shared, Some(thread)), kept))
+        Ok((LatestValueFile(shared, Some(thread)), kept))
     }
 
     /// Has `bytes` written some time soon, in place of what waits; never waits for the disk.
-    pub fn keep(&self, bytes: Vec<u8>) {
+    pub fn store(&self, bytes: Vec<u8>) {
         let (slot, woken) = &*self.0;
         slot.lock().unwrap_or_else(PoisonError::into_inner).newest = Some(bytes);
         woken.notify_one();
@@ -65,7 +65,7 @@
     }
 }
 
-impl Drop for NoteHand {
+impl Drop for LatestValueFile {
     fn drop(&mut self) {
         let (slot, woken) = &*self.0;
         slot.lock().unwrap_or_else(PoisonError::into_inner).over = true;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -2,13 +2,13 @@
 //! here decides anything; every transport and every store passes the contracts in `tests/contracts.rs`.
 
 mod disk;
-mod hand;
+mod disk_writer;
 mod incoming;
-mod memory_post;
+mod latest_value_file;
 mod memory_store;
-mod note;
+mod memory_transport;
 mod outgoing;
-mod post;
+mod socket_transport;
 mod stats;
 
 use std::net::Ipv4Addr;
@@ -16,18 +16,18 @@
 use tokio::sync::mpsc;
 use types::Carrier;
 
-pub use disk::{DirFolder, DiskStore, Folder};
-pub use hand::{DiskHand, Done};
-pub use incoming::frames;
-pub use memory_post::{MemoryHall, MemoryPost};
+pub use disk::{Directory, DiskStore, FsDirectory};
+pub use disk_writer::{DiskWriter, WriteOutcome};
+pub use incoming::read_frames;
+pub use latest_value_file::LatestValueFile;
 pub use memory_store::{Fault, MemoryStore};
-pub use note::NoteHand;
-pub use post::{Post, PostLimits};
-pub use stats::PostStats;
+pub use memory_transport::{MemoryNetwork, MemoryTransport};
+pub use socket_transport::{SocketTransport, TransportLimits};
+pub use stats::TransportStats;
 
 /// A message as it was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Arrived {
+pub struct ReceivedMessage {
     pub from: Ipv4Addr,
     pub bytes: Vec<u8>,
     /// What brought it.
@@ -35,7 +35,7 @@
 }
 
 /// What has arrived, in order.
-pub type Incoming = mpsc::Receiver<Arrived>;
+pub type MessageReceiver = mpsc::Receiver<ReceivedMessage>;
 
 /// Carries messages like datagrams: each one whole, once or not at all, in any order, never waiting.
 pub trait Transport {
--- a/crates/transport/src/memory_post.rs
+++ b/crates/transport/src/memory_transport.rs
@@ -8,14 +8,14 @@
 use tokio::sync::mpsc;
 use types::Carrier;
 
-use crate::{Arrived, Incoming, Transport};
+use crate::{MessageReceiver, ReceivedMessage, Transport};
 
 /// Messages that wait at one place; more are dropped.
 const ARRIVED: usize = 256;
 
 #[derive(Debug)]
 struct Hall {
-    places: HashMap<Ipv4Addr, mpsc::Sender<Arrived>>,
+    places: HashMap<Ipv4Addr, mpsc::Sender<ReceivedMessage>>,
     /// How many of a thousand messages are lost.
     lost: u64,
     chance: u64,
@@ -24,30 +24,30 @@
 
 /// Where memory posts meet. Clones are the same hall.
 #[derive(Clone, Debug)]
-pub struct MemoryHall(Rc<RefCell<Hall>>);
+pub struct MemoryNetwork(Rc<RefCell<Hall>>);
 
-impl MemoryHall {
+impl MemoryNetwork {
     /// `lost` of a thousand messages do not arrive, by the seed; none over `longest` bytes does.
     pub fn new(seed: u64, lost: u64, longest: usize) -> Self {
         Self(Rc::new(RefCell::new(Hall { places: HashMap::new(), lost, chance: seed, longest })))
     }
 
     /// A post at a place; one that was there before hears nothing more.
-    pub fn join(&self, own: Ipv4Addr) -> (MemoryPost, Incoming) {
+    pub fn attach(&self, own: Ipv4Addr) -> (MemoryTransport, MessageReceiver) {
         let (sender, receiver) = mpsc::channel(ARRIVED);
         self.0.borrow_mut().places.insert(own, sender);
-        (MemoryPost { own, hall: self.clone() }, receiver)
+        (MemoryTransport { own, hall: self.clone() }, receiver)
     }
 }
 
 /// A place in a hall.
 #[derive(Clone, Debug)]
-pub struct MemoryPost {
+pub struct MemoryTransport {
     own: Ipv4Addr,
-    hall: MemoryHall,
+    hall: MemoryNetwork,
 }
 
-impl Transport for MemoryPost {
+impl Transport for MemoryTransport {
     fn send(&self, to: Ipv4Addr, bytes: Vec<u8>) {
         let mut hall = self.hall.0.borrow_mut();
         let lost = hall.draw() % 1_000 < hall.lost;
@@ -56,7 +56,7 @@
         }
         if let Some(place) = hall.places.get(&to) {
             // Full or gone: lost, as on the way.
-            let _ = place.try_send(Arrived { from: self.own, bytes, carrier: Carrier::Datagram });
+            let _ = place.try_send(ReceivedMessage { from: self.own, bytes, carrier: Carrier::Datagram });
         }
     }
 
@@ -65,7 +65,7 @@
         if bytes.len() <= hall.longest
             && let Some(place) = hall.places.get(&to)
         {
-            let _ = place.try_send(Arrived { from: self.own, bytes, carrier: Carrier::Stream });
+            let _ = place.try_send(ReceivedMessage { from: self.own, bytes, carrier: Carrier::Stream });
         }
     }
 }
--- a/crates/transport/src/outgoing.rs
+++ b/crates/transport/src/outgoing.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use crate::post::PostLimits;
+use crate::socket_transport::TransportLimits;
 
 /// Operators filter log lines by this name, which is older than the package's.
 const LOG_TARGET: &str = "wings::outgoing";
@@ -34,12 +34,12 @@
 pub(crate) struct Outgoing {
     own: Ipv4Addr,
     port: u16,
-    limits: PostLimits,
+    limits: TransportLimits,
     peers: RefCell<HashMap<Ipv4Addr, Peer>>,
 }
 
 impl Outgoing {
-    pub(crate) fn new(own: Ipv4Addr, port: u16, limits: PostLimits) -> Self {
+    pub(crate) fn new(own: Ipv4Addr, port: u16, limits: TransportLimits) -> Self {
         Self { own, port, limits, peers: RefCell::default() }
     }
 
@@ -50,12 +50,12 @@
         let mut peers = self.peers.borrow_mut();
         // A task that has ended leaves nothing in its queue.
         peers.retain(|_, peer| !peer.task.is_finished());
-        if !peers.contains_key(&to) && peers.len() >= self.limits.peers {
+        if !peers.contains_key(&to) && peers.len() >= self.limits.max_peers {
             log::warn!(target: LOG_TARGET, "message to {to} dropped: too many peers");
             return;
         }
         let peer = peers.entry(to).or_insert_with(|| self.start(to));
-        peer.queue.borrow_mut().push(frame, self.limits.queue);
+        peer.queue.borrow_mut().push(frame, self.limits.max_queue_bytes);
         peer.more.notify_one();
     }
 
@@ -120,7 +120,7 @@
 struct Line {
     own: Ipv4Addr,
     to: SocketAddrV4,
-    limits: PostLimits,
+    limits: TransportLimits,
     queue: Rc<RefCell<Queue>>,
     more: Rc<Notify>,
 }
@@ -163,8 +163,8 @@
         // The peer tells who speaks by the address.
         socket.bind(SocketAddrV4::new(self.own, 0).into())?;
         socket.set_nodelay(true)?;
-        SockRef::from(&socket).set_tcp_user_timeout(Some(self.limits.stall))?;
-        timeout(self.limits.connect, socket.connect(self.to.into())).await?
+        SockRef::from(&socket).set_tcp_user_timeout(Some(self.limits.write_timeout))?;
+        timeout(self.limits.connect_timeout, socket.connect(self.to.into())).await?
     }
 
     async fn feed(&self, mut stream: TcpStream, mut unsent: Option<Vec<u8>>) -> End {
@@ -177,13 +177,13 @@
                     biased;
                     () = self.more.notified() => {}
                     _ = stream.read_u8() => return End::Broken { unsent: None, useful },
-                    () = tokio::time::sleep(self.limits.idle) => return End::Idle,
+                    () = tokio::time::sleep(self.limits.idle_timeout) => return End::Idle,
                 }
                 continue;
             };
             let mut left = &frame[..];
             while !left.is_empty() {
-                match timeout(self.limits.stall, stream.write(left)).await {
+                match timeout(self.limits.write_timeout, stream.write(left)).await {
                     Ok(Ok(written)) if written > 0 => left = &left[written..],
                     Ok(_) => return End::Broken { unsent: Some(frame), useful },
                     Err(_) => return End::Stalled,
--- a/crates/transport/src/post.rs
+++ b/crates/transport/src/socket_transport.rs
@@ -1,4 +1,4 @@
-//! Post (network transport): short messages by datagram, long ones by a stream to the same port number.
+//! SocketTransport (network transport): short messages by datagram, long ones by a stream to the same port number.
 
 use std::fmt;
 use std::io;
@@ -13,82 +13,82 @@
 
 use crate::incoming::{self, Door};
 use crate::outgoing::Outgoing;
-use crate::stats::{Counters, PostStats};
-use crate::{Incoming, Transport};
+use crate::stats::{Counters, TransportStats};
+use crate::{MessageReceiver, Transport};
 
 /// Operators filter log lines by this name, which is older than the package's.
 const LOG_TARGET: &str = "wings::post";
 
 /// Bounds of a post; sizes in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PostLimits {
+pub struct TransportLimits {
     /// Messages up to this long go by datagram.
-    pub datagram: usize,
+    pub max_datagram_bytes: usize,
     /// Longer messages are dropped, and a stream that announces one is closed.
-    pub message: usize,
+    pub max_message_bytes: usize,
     /// What may wait for one peer; the oldest go when it is more.
-    pub queue: usize,
+    pub max_queue_bytes: usize,
     /// Peers that long messages go to at one time.
-    pub peers: usize,
+    pub max_peers: usize,
     /// Streams from others at one time.
-    pub streams: usize,
+    pub max_incoming_streams: usize,
     /// Long messages being read at one time, in all streams together.
-    pub reading: usize,
+    pub max_reading_bytes: usize,
     /// Messages that wait for the receiver's owner; datagrams beyond are dropped, streams wait.
-    pub arrived: usize,
-    pub connect: Duration,
+    pub max_undelivered_messages: usize,
+    pub connect_timeout: Duration,
     /// A write that makes no progress for so long drops the stream and what waits for it.
-    pub stall: Duration,
+    pub write_timeout: Duration,
     /// An outgoing stream without use is closed after this; an incoming one after twice as long.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// A message that takes longer to come in, beside 10 µs for each of its bytes, drops its stream.
-    pub frame: Duration,
+    pub frame_timeout: Duration,
 }
 
-impl Default for PostLimits {
+impl Default for TransportLimits {
     fn default() -> Self {
         Self {
-            datagram: types::DATAGRAM_MAX_BYTES,
-            message: 16 << 20,
-            queue: 4 << 20,
-            peers: 128,
-            streams: 256,
-            reading: 32 << 20,
-            arrived: 256,
-            connect: Duration::from_secs(1),
-            stall: Duration::from_secs(3),
-            idle: Duration::from_secs(10),
-            frame: Duration::from_secs(10),
+            max_datagram_bytes: types::DATAGRAM_MAX_BYTES,
+            max_message_bytes: 16 << 20,
+            max_queue_bytes: 4 << 20,
+            max_peers: 128,
+            max_incoming_streams: 256,
+            max_reading_bytes: 32 << 20,
+            max_undelivered_messages: 256,
+            connect_timeout: Duration::from_secs(1),
+            write_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(10),
+            frame_timeout: Duration::from_secs(10),
         }
     }
 }
 
 /// The transport of one process. Clones share it; it ends with the last of them.
 #[derive(Clone)]
-pub struct Post(Rc<Inner>);
+pub struct SocketTransport(Rc<Inner>);
 
 struct Inner {
     socket: Rc<UdpSocket>,
     port: u16,
-    limits: PostLimits,
+    limits: TransportLimits,
     outgoing: Outgoing,
     counters: Rc<Counters>,
     listeners: [AbortHandle; 2],
 }
 
-impl Post {
+impl SocketTransport {
     /// Binds `port` at this machine's address for datagrams and streams. To be called within a `LocalSet`.
-    pub fn bind(own: Ipv4Addr, port: u16, limits: PostLimits) -> io::Result<(Self, Incoming)> {
+    pub fn bind(own: Ipv4Addr, port: u16, limits: TransportLimits) -> io::Result<(Self, MessageReceiver)> {
         let at = SocketAddrV4::new(own, port);
         let waits = |error: &io::Error| log::warn!(target: LOG_TARGET, "{error}; tried again");
         let socket = garnetdoor_bind::when_free(at, || std::net::UdpSocket::bind(at), waits)?;
         socket.set_nonblocking(true)?;
         let socket = Rc::new(UdpSocket::from_std(socket)?);
         let listener = garnetdoor_bind::when_free(at, || listen(at), waits)?;
-        let (arrived, receiver) = mpsc::channel(limits.arrived);
+        let (arrived, receiver) = mpsc::channel(limits.max_undelivered_messages);
         let counters = Rc::new(Counters::default());
         let datagrams =
-            incoming::datagrams(socket.clone(), arrived.clone(), limits.datagram, counters.clone());
+            incoming::datagrams(socket.clone(), arrived.clone(), limits.max_datagram_bytes, counters.clone());
         let door = Door::new(listener, arrived, limits);
         let listeners = [
             tokio::task::spawn_local(datagrams).abort_handle(),
@@ -98,14 +98,14 @@
         Ok((Self(Rc::new(Inner { socket, port, limits, outgoing, counters, listeners })), receiver))
     }
 
-    pub fn stats(&self) -> PostStats {
+    pub fn stats(&self) -> TransportStats {
         self.0.counters.stats()
     }
 
     /// Sends without waiting: whole and once, or not at all.
     pub fn send(&self, to: Ipv4Addr, bytes: Vec<u8>) {
         let inner = &*self.0;
-        if bytes.len() <= inner.limits.datagram {
+        if bytes.len() <= inner.limits.max_datagram_bytes {
             // Not by way of the runtime, which lets nothing out before it has heard of the socket. A datagram
             // that the system won't take now is dropped like one that the network loses.
             let to = SocketAddrV4::new(to, inner.port);
@@ -124,7 +124,7 @@
     /// As `send`, by a stream whatever its length.
     pub fn send_by_stream(&self, to: Ipv4Addr, bytes: Vec<u8>) {
         let inner = &*self.0;
-        if bytes.len() > inner.limits.message {
+        if bytes.len() > inner.limits.max_message_bytes {
             return log::warn!(target: LOG_TARGET, "message of {} bytes to {to} is over the limit", bytes.len());
         }
         inner.counters.count(|stats| stats.stream_messages_sent += 1);
@@ -132,13 +132,13 @@
     }
 }
 
-impl Transport for Post {
+impl Transport for SocketTransport {
     fn send(&self, to: Ipv4Addr, bytes: Vec<u8>) {
-        Post::send(self, to, bytes);
+        SocketTransport::send(self, to, bytes);
     }
 
     fn send_by_stream(&self, to: Ipv4Addr, bytes: Vec<u8>) {
-        Post::send_by_stream(self, to, bytes);
+        SocketTransport::send_by_stream(self, to, bytes);
     }
 }
 
@@ -150,9 +150,9 @@
     }
 }
 
-impl fmt::Debug for Post {
+impl fmt::Debug for SocketTransport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Post").field("port", &self.0.port).finish()
+        f.debug_struct("SocketTransport").field("port", &self.0.port).finish()
     }
 }
 
--- a/crates/transport/src/stats.rs
+++ b/crates/transport/src/stats.rs
@@ -4,7 +4,7 @@
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PostStats {
+pub struct TransportStats {
     pub datagrams_sent: u64,
     /// Not taken by the operating system.
     pub datagrams_refused: u64,
@@ -16,16 +16,16 @@
 
 /// The counts as the parts of a post keep them.
 #[derive(Debug, Default)]
-pub(crate) struct Counters(Cell<PostStats>);
+pub(crate) struct Counters(Cell<TransportStats>);
 
 impl Counters {
-    pub fn count(&self, change: impl FnOnce(&mut PostStats)) {
+    pub fn count(&self, change: impl FnOnce(&mut TransportStats)) {
         let mut stats = self.0.get();
         change(&mut stats);
         self.0.set(stats);
     }
 
-    pub fn stats(&self) -> PostStats {
+    pub fn stats(&self) -> TransportStats {
         self.0.get()
     }
 }
--- a/crates/understudy/src/targets/calls.rs
+++ b/crates/understudy/src/targets/calls.rs
@@ -4,7 +4,7 @@
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method};
 use playhouse::calls::{self, Call, Wrong};
-use registry::{Beat, InstanceId};
+use registry::{Heartbeat, InstanceId};
 use simd_json::json;
 use simd_json::prelude::*;
 
@@ -31,7 +31,7 @@
 pub struct BeatCall;
 
 /// A beat as an instance would write it.
-fn written(beat: &Beat) -> Vec<u8> {
+fn written(beat: &Heartbeat) -> Vec<u8> {
     let value = json!({
         "Address": beat.address.to_string(),
         "NodeInfo": {
@@ -72,7 +72,7 @@
             Ok(beat) => {
                 let again = calls::beat(beat.id.clone(), &written(&beat)).expect("it can be written again");
                 assert!((again.warmup_left - beat.warmup_left).abs() <= 1, "seconds are told as micros");
-                let again = Beat { warmup_left: beat.warmup_left, ..again };
+                let again = Heartbeat { warmup_left: beat.warmup_left, ..again };
                 assert_eq!(again, beat, "it reads back the same");
                 signature.mark("draining", u64::from(beat.draining));
                 signature.bucket("slots", u64::from(beat.slots));
--- a/crates/understudy/src/targets/stream.rs
+++ b/crates/understudy/src/targets/stream.rs
@@ -5,7 +5,7 @@
 
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::{Semaphore, mpsc};
-use transport::PostLimits;
+use transport::TransportLimits;
 
 use crate::{Cost, Shape, Signature, Target};
 
@@ -68,11 +68,15 @@
     }
 
     fn run(&mut self, input: &[u8]) -> Signature {
-        let limits = PostLimits { message: MESSAGE, reading: READING, ..PostLimits::default() };
+        let limits = TransportLimits {
+            max_message_bytes: MESSAGE,
+            max_reading_bytes: READING,
+            ..TransportLimits::default()
+        };
         let from = Ipv4Addr::new(10, 0, 0, 2);
         let reading = Arc::new(Semaphore::new(READING));
         let (arrived, mut incoming) = mpsc::channel(4);
-        let read = transport::frames(input, from, arrived, reading.clone(), limits);
+        let read = transport::read_frames(input, from, arrived, reading.clone(), limits);
         let taken = async {
             let mut taken = Vec::new();
             while let Some(arrived) = incoming.recv().await {
--- a/crates/understudy/src/targets/words.rs
+++ b/crates/understudy/src/targets/words.rs
@@ -8,7 +8,7 @@
 use playhouse::control::{Control, In, Out};
 use playhouse::house::{House, Letter, Word, opened};
 use playhouse::settings::Spans;
-use registry::{Beat, InstanceId};
+use registry::{Heartbeat, InstanceId};
 use types::{
     CallId, Carrier, ConfigVersion, FormatRange, FormatVersion, MS, Micros, NodeAddress, NodeVersion, RunId,
     SECOND, VoterId,
@@ -74,8 +74,8 @@
     (control, out)
 }
 
-fn beat(number: u8, sequence: u64, draining: bool) -> Beat {
-    Beat {
+fn beat(number: u8, sequence: u64, draining: bool) -> Heartbeat {
+    Heartbeat {
         id: InstanceId(format!("i{number}")),
         service: "s".into(),
         address: format!("10.0.1.{number}:80").parse().expect("an address"),
@@ -291,7 +291,7 @@
                         + 2 * u64::from(FormatRange::SUPPORTED.contains(newest))
                 }),
             );
-            let before = (foyer.script.index(), foyer.board.index(), foyer.cast.changes());
+            let before = (foyer.script.index(), foyer.board.index(), foyer.cast.revision());
             // What time alone made it say.
             while foyer.happened().is_some() {}
             drop(foyer.out());
@@ -309,7 +309,7 @@
                     signature.mark("inner", (tag << 8 | inner(&word)) << 8 | said.min(3) as u64);
                 }
                 None => {
-                    let after = (foyer.script.index(), foyer.board.index(), foyer.cast.changes());
+                    let after = (foyer.script.index(), foyer.board.index(), foyer.cast.revision());
                     assert_eq!((after, happened, said), (before, 0, 0), "what can't be read does nothing");
                 }
             }
@@ -338,10 +338,10 @@
             foyer.tick(now + later);
         }
         signature.bucket("members", foyer.company.up(Part::Foyer).count() as u64);
-        signature.bucket("instances", foyer.cast.records().count() as u64);
+        signature.bucket("instances", foyer.cast.instances().count() as u64);
         signature.mark("unreadable", u64::from(foyer.unreadable().is_some()));
         signature.bucket("term", control.book().term().0);
-        signature.bucket("changes", foyer.cast.changes());
+        signature.bucket("changes", foyer.cast.revision());
         signature
     }
 }
