--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -11,7 +11,7 @@
 use control_state::{Command, CommandOutcome, VerdictTally};
 use intent::{Inspector, inspector};
 use membership::{MemberStatus, Role};
-use registry::{Beat, InstanceId};
+use registry::{Heartbeat, InstanceId};
 use types::{CallId, Carrier, FormatVersion, LogIndex, MS, Micros, NodeAddress, SECOND, VoterId};
 
 use crate::house::{Happened, House, Letter, Word};
@@ -49,7 +49,7 @@
     Written { no: WriteId, ok: bool },
     Order { ask: CallId, command: Command },
     Read { ask: CallId },
-    Beat { ask: CallId, beat: Beat },
+    Beat { ask: CallId, beat: Heartbeat },
     Detach { ask: CallId, id: InstanceId },
     Seeds { places: Vec<NodeAddress> },
     Leave,
@@ -132,7 +132,7 @@
         mut house: House, seat: VoterId, first: Option<Members>, saved: PersistentState, spans: &Spans,
         seed: u64, now: Micros,
     ) -> (Control, Vec<Out>) {
-        house.cast.spread_within(spans.drain);
+        house.cast.set_drain_limit(spans.drain);
         house.script.set_acknowledgement_timeout(spans.ack);
         let (book, effects) = RaftNode::start(seat, first, saved, spans.book, seed, now);
         let mut control = Control {
@@ -377,7 +377,7 @@
     /// goes is not asked any more, so a leader must not say it while it still leads.
     fn tend_leave(&mut self, now: Micros) {
         let Some(until) = self.leaving else { return };
-        let (release, untold) = (self.book.shutdown_readiness(), self.house.cast.untold());
+        let (release, untold) = (self.book.shutdown_readiness(), self.house.cast.pending_updates());
         let last = self.book.acknowledgement_limit().0;
         // One that reads form 1 only does not know the question.
         let leader = self.book.leader().map(|seat| seat.address);
@@ -421,7 +421,7 @@
 
     /// Has the instances kept where they have changed.
     fn tend_memory(&mut self, now: Micros) {
-        let changes = self.house.cast.changes();
+        let changes = self.house.cast.revision();
         if changes == self.kept.0 {
             return;
         }
@@ -446,9 +446,9 @@
         let rollouts = &self.house.script.rollouts;
         let known =
             |service: &str| rollouts.get(service).is_some_and(|rollout| rollout.current_version.is_some());
-        let records = self.house.cast.records();
+        let records = self.house.cast.instances();
         let unknown: Vec<(String, String)> = records
-            .filter(|record| record.state == registry::State::InService && !known(&record.service))
+            .filter(|record| record.state == registry::InstanceState::InService && !known(&record.service))
             .map(|record| (record.service.clone(), record.version.clone()))
             .collect();
         for (service, version) in unknown {
