--- a/crates/garnetdoor-gateway/src/event.rs
+++ b/crates/garnetdoor-gateway/src/event.rs
@@ -4,8 +4,8 @@
 use std::net::{IpAddr, SocketAddr};
 
 use garnetdoor::host::Micros;
-use garnetdoor_operator::Operator;
-use garnetdoor_sessions::{End, Glance, SessionId, Side};
+use garnetdoor_operator::OperatorConfig;
+use garnetdoor_sessions::{ConnectionActivity, SessionId, Side, SideEvent};
 
 /// A connection. Those that clients make have even numbers, those that the gateway makes odd ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -45,13 +45,13 @@
     /// Whether a session's connections have been joined; if not, something read is still on its way here.
     Joined(SessionId, bool),
     /// What a session's connections have met.
-    Session(SessionId, End),
+    Session(SessionId, SideEvent),
     /// What the sessions' connections show.
-    Glanced(Vec<(SessionId, Glance)>),
+    Glanced(Vec<(SessionId, ConnectionActivity)>),
     /// The list service and the platform have these addresses from now on.
     Reload(SocketAddr, SocketAddr),
     /// The operator file says this from now on.
-    Operate(Box<Operator>),
+    Operate(Box<OperatorConfig>),
     /// The gateway shall stop.
     Stop,
 }
--- a/crates/garnetdoor-gateway/src/lifecycle/serve.rs
+++ b/crates/garnetdoor-gateway/src/lifecycle/serve.rs
@@ -20,7 +20,7 @@
 use crate::event::{ConnId, Effect, Event};
 use crate::log;
 use crate::memory::reducer::Reducer;
-use crate::operator::{self, Operator};
+use crate::operator::{self, OperatorConfig};
 use crate::wire::relay::Relay;
 use crate::wire::socket::{self, Link};
 
@@ -61,7 +61,9 @@
     }]
 }
 
-fn start(config: Config, operator: Operator, file: Option<String>, signals: Signals) -> io::Result<Driver> {
+fn start(
+    config: Config, operator: OperatorConfig, file: Option<String>, signals: Signals,
+) -> io::Result<Driver> {
     let clock = Clock::start();
     let (events, inbox) = mpsc::channel();
     let listener = listen::bind("listen", config.listen, TcpListener::bind)?;
--- a/crates/garnetdoor-gateway/src/memory/reducer.rs
+++ b/crates/garnetdoor-gateway/src/memory/reducer.rs
@@ -7,7 +7,7 @@
 
 use garnetdoor::balance::Balance;
 use garnetdoor::host::{Condition, Ending, Host, Micros, News, Taken};
-use garnetdoor_operator::Operator;
+use garnetdoor_operator::OperatorConfig;
 
 use super::conns::{Conn, Kind, Work};
 use super::desk::{Desk, Told};
@@ -49,7 +49,7 @@
 impl Reducer {
     /// Starts the decisions with what the configuration and the operator file hold; the configuration's list
     /// comes first, then its news.
-    pub fn start(now: Micros, config: &Config, operator: &Operator) -> (Self, Vec<Effect>) {
+    pub fn start(now: Micros, config: &Config, operator: &OperatorConfig) -> (Self, Vec<Effect>) {
         let mut desk = Desk::new(now, config);
         desk.operate(operator.clone(), config.seed);
         let desk = Rc::new(RefCell::new(desk));
--- a/crates/garnetdoor-gateway/src/memory/sessions.rs
+++ b/crates/garnetdoor-gateway/src/memory/sessions.rs
@@ -5,8 +5,10 @@
 use std::net::IpAddr;
 
 use garnetdoor::host::{Arrival, BuildNo, Condition, Ending, Micros, ProfileId, ServerId, TicketId, TripNo};
-use garnetdoor_operator::{Operator, Websocket};
-use garnetdoor_sessions::{Act, Admission, End, Key, Opening, Party, Repeats, SessionId, Sessions, Side};
+use garnetdoor_operator::{OperatorConfig, Websocket};
+use garnetdoor_sessions::{
+    Action, Admission, Party, Repeatability, SessionId, SessionKey, Sessions, Side, SideEvent, UpgradeRequest,
+};
 
 use super::conns::{Kind, Work};
 use super::desk::{Desk, MS};
@@ -49,9 +51,11 @@
 
 impl Desk {
     /// Sets up, changes or closes the room for sessions by the operator file, and sets descriptors aside.
-    pub fn operate(&mut self, operator: Operator, seed: u64) {
+    pub fn operate(&mut self, operator: OperatorConfig, seed: u64) {
         let settings = operator.websocket;
-        let limits = settings.as_ref().map(|settings| settings.limits().within(self.most_of_all));
+        let limits = settings
+            .as_ref()
+            .map(|settings| settings.session_limits().capped_by_descriptors(self.most_of_all));
         let reserved = limits.as_ref().map_or(0, |(_, reserved)| *reserved);
         self.share_out(reserved);
         let now = self.now;
@@ -107,15 +111,19 @@
         }
         let from = || room.origins.get(&id).map_or_else(|| "?".to_owned(), ToString::to_string);
         let party = upgrade.party.clone().unwrap_or_else(from);
-        let repeats =
-            if self.profiles.is_repeatable(arrival.profile) { Repeats::Harmless } else { Repeats::Never };
-        let key = upgrade.key.as_deref().map(|key| Key(key.into()));
-        let opening = Opening { profile: arrival.profile, repeats, party: Party(party.into()), key };
-        match room.sessions.asked(self.now, opening) {
-            Admission::Taken(session) => Ok(Some(session)),
-            Admission::TurnedBack { why, come_back_in } => {
-                self.log(format!("upgrade conn={id} turned back: {}", why.code()));
-                Err(TurnedBack(come_back_in))
+        let repeatability = if self.profiles.is_repeatable(arrival.profile) {
+            Repeatability::Repeatable
+        } else {
+            Repeatability::NotRepeatable
+        };
+        let key = upgrade.key.as_deref().map(|key| SessionKey(key.into()));
+        let opening =
+            UpgradeRequest { profile: arrival.profile, repeatability, party: Party(party.into()), key };
+        match room.sessions.request_upgrade(self.now, opening) {
+            Admission::Accepted(session) => Ok(Some(session)),
+            Admission::Rejected { reason, retry_after } => {
+                self.log(format!("upgrade conn={id} turned back: {}", reason.code()));
+                Err(TurnedBack(retry_after))
             }
         }
     }
@@ -145,7 +153,7 @@
         if let Some(room) = &mut self.room
             && let Some(session) = room.by_ticket.get(&ticket)
         {
-            room.sessions.sent(*session, server, build);
+            room.sessions.attempt_sent(*session, server, build);
         }
     }
 
@@ -157,7 +165,7 @@
             && room.lines.get(&session).is_some_and(|lines| lines.conns.is_none())
         {
             room.lines.remove(&session);
-            room.sessions.not_opened(now, session);
+            room.sessions.opening_failed(now, session);
         }
     }
 
@@ -176,7 +184,7 @@
             let place = self.servers.get(&server);
             let after = place.map_or((process, Condition::Gone), |place| (place.process, place.condition));
             if after != (process, condition) {
-                room.sessions.listed(now, server, after.1, after.0 == process);
+                room.sessions.update_server(now, server, after.1, after.0 == process);
             }
         }
     }
@@ -195,7 +203,7 @@
         }
         self.tell_shares();
         loop {
-            let acts = self.desk().room.as_mut().map(|room| room.sessions.acts()).unwrap_or_default();
+            let acts = self.desk().room.as_mut().map(|room| room.sessions.take_actions()).unwrap_or_default();
             if acts.is_empty() {
                 break;
             }
@@ -203,7 +211,7 @@
         }
         let desk = &mut *self.desk();
         let Some(room) = &mut desk.room else { return };
-        let due = room.sessions.due();
+        let due = room.sessions.next_due();
         if room.armed.map(|(at, _)| at) != due {
             if let Some(armed) = room.armed.take() {
                 desk.timers.unset(armed);
@@ -212,7 +220,7 @@
         }
         if !room.glances && !room.by_conn.is_empty() {
             room.glances = true;
-            desk.timers.set(desk.now + room.sessions.limits().glances(), Timer::Glance);
+            desk.timers.set(desk.now + room.sessions.limits().activity_check_interval(), Timer::Glance);
         }
     }
 
@@ -223,7 +231,7 @@
         room.stale = false;
         let builds: BTreeSet<BuildNo> = desk.servers.values().map(|place| place.process.build).collect();
         let shares = builds.into_iter().filter_map(|build| Some((build, self.gate.cap(build)?)));
-        room.sessions.told(desk.now, shares.collect());
+        room.sessions.set_shares(desk.now, shares.collect());
     }
 
     pub(super) fn session_timer(&mut self) {
@@ -245,47 +253,47 @@
         }
     }
 
-    fn act(&mut self, act: Act) {
+    fn act(&mut self, act: Action) {
         let mut desk = self.desk();
         match act {
-            Act::GiveUp { session, come_back_in } => {
+            Action::AbandonOpening { session, retry_after } => {
                 let lines = desk.room.as_mut().and_then(|room| room.lines.remove(&session));
                 drop(desk);
                 if let Some(lines) = lines {
-                    self.give_opening_up(lines.ticket, come_back_in);
+                    self.give_opening_up(lines.ticket, retry_after);
                 }
             }
-            Act::Close { session, client, server, again_in, .. } => {
-                let again = again_in.map(|wait| format!("again-in-ms={}", wait / MS));
+            Action::Close { session, client_code, server_code, reconnect_after, .. } => {
+                let again = reconnect_after.map(|wait| format!("again-in-ms={}", wait / MS));
                 let reasons = [again.unwrap_or_default(), String::new()];
                 let mask = (desk.chance.rand_u64() as u32).to_be_bytes();
-                let parting = Parting { codes: [client, server], reasons, mask };
+                let parting = Parting { codes: [client_code, server_code], reasons, mask };
                 desk.effects.push(Effect::Part(session, Box::new(parting)));
             }
-            Act::Cut { session, client, .. } => {
+            Action::Abort { session, client_code, .. } => {
                 let lines = desk.room.as_ref().and_then(|room| room.lines.get(&session));
                 if let Some(conns) = lines.and_then(|lines| lines.conns) {
-                    desk.effects.push(Effect::Cut(session, client, conns));
+                    desk.effects.push(Effect::Cut(session, client_code, conns));
                     desk.client_of_cut(session);
                 }
             }
-            Act::Ping(session, side) => {
+            Action::Ping(session, side) => {
                 let mask = (desk.chance.rand_u64() as u32).to_be_bytes();
                 desk.effects.push(Effect::Ping(session, side, mask));
             }
-            Act::Judge { server, build, profile, failed } => {
+            Action::RecordOutcome { server, build, profile, failed } => {
                 drop(desk);
                 self.gate.session_judged(server, build, profile, failed);
             }
-            Act::Ended { session, why, stood } => {
+            Action::Ended { session, reason, lifetime } => {
                 desk.effects.push(Effect::Forget(session));
                 let Some(room) = &mut desk.room else { return };
                 let conns = room.lines.remove(&session).and_then(|lines| lines.conns);
                 for conn in conns.iter().flatten() {
                     room.by_conn.remove(conn);
                 }
-                let ms = stood / MS;
-                desk.log(format!("end session={session} code={} stood_ms={ms}", why.code()));
+                let ms = lifetime / MS;
+                desk.log(format!("end session={session} code={} stood_ms={ms}", reason.code()));
             }
         }
     }
@@ -320,7 +328,7 @@
         };
         let Some(found) = desk.tickets.get(&ticket) else { return };
         let Some(upgrade) = &found.request.upgrade else { return };
-        let agreement = match upgrade.offer.agreed(answer.fields()) {
+        let agreement = match upgrade.offer.check_response(answer.fields()) {
             Ok(agreement) if !ended => agreement,
             Ok(_) => {
                 drop(desk);
@@ -347,7 +355,7 @@
         if let Some(ticket) = desk.tickets.get_mut(&ticket) {
             ticket.client = None;
         }
-        desk.write_to_session(client, agreement.head());
+        desk.write_to_session(client, agreement.response_head());
         desk.trip_over(ticket, trip, Ending::Finished, Vec::new());
         let listed = match desk.servers.get(&server) {
             Some(place) if place.process == process => place.condition,
@@ -359,8 +367,8 @@
             session,
             conns: [client, id],
             first: [client_conn.buffer.data().to_vec(), server_conn.buffer.data().to_vec()],
-            compressed: agreement.compresses(),
-            message_most: room.sessions.limits().message_most,
+            compressed: agreement.allows_compression(),
+            message_most: room.sessions.limits().max_message_bytes,
         });
         room.by_conn.extend([(client, (session, Side::Client)), (id, (session, Side::Server))]);
         if let Some(lines) = room.lines.get_mut(&session) {
@@ -407,34 +415,35 @@
             if lines.join.take().is_some() {
                 // It ended before the two were joined: there is nothing to relay, and the other one ends too.
                 let other = lines.conns.map(|conns| conns[side.other() as usize]);
-                room.sessions.ends(now, session, End::Gone(side));
+                room.sessions.handle_side_event(now, session, SideEvent::Disconnected(side));
                 if let Some(other) = other {
                     desk.effects.push(Effect::Finish(other));
                 }
                 return;
             }
         }
-        room.sessions.ends(now, session, End::Gone(side));
+        room.sessions.handle_side_event(now, session, SideEvent::Disconnected(side));
     }
 
     /// What the connections of a session have met.
-    pub(super) fn session_ends(&mut self, session: SessionId, end: End) {
+    pub(super) fn session_ends(&mut self, session: SessionId, end: SideEvent) {
         let mut desk = self.desk();
         let now = desk.now;
         if let Some(room) = &mut desk.room {
-            room.sessions.ends(now, session, end);
+            room.sessions.handle_side_event(now, session, end);
         }
-        if let End::Fault(side, code) = end {
+        if let SideEvent::InvalidFrame(side, code) = end {
             desk.log(format!("session={session} bad frame from {side:?}: {code}"));
         }
     }
 
     /// What the sessions' connections show.
-    pub(super) fn glanced(&mut self, seen: Vec<(SessionId, garnetdoor_sessions::Glance)>) {
+    pub(super) fn glanced(&mut self, seen: Vec<(SessionId, garnetdoor_sessions::ConnectionActivity)>) {
         let mut desk = self.desk();
         let now = desk.now;
         if let Some(room) = &mut desk.room {
-            seen.into_iter().for_each(|(session, glance)| room.sessions.glanced(now, session, glance));
+            seen.into_iter()
+                .for_each(|(session, glance)| room.sessions.observe_activity(now, session, glance));
         }
     }
 }
--- a/crates/garnetdoor-gateway/src/wire/client.rs
+++ b/crates/garnetdoor-gateway/src/wire/client.rs
@@ -3,7 +3,7 @@
 use garnetdoor::host::{Arrival, KeyId, Micros, PartyId, ProfileId, Settings, micros};
 
 use garnetdoor_operator::Websocket;
-use garnetdoor_websocket::handshake::{self, Offer, Refusal};
+use garnetdoor_websocket::handshake::{self, UpgradeOffer, UpgradeRefusal};
 
 use super::http::{self, Fault, Message};
 
@@ -55,13 +55,13 @@
     /// Not a ticket: the answer's status.
     Wrong(u16),
     /// An upgrade that can't be.
-    Refused(Refusal),
+    Refused(UpgradeRefusal),
 }
 
 /// What an upgrade brings beside its ticket.
 #[derive(Debug)]
 pub struct Upgrade {
-    pub offer: Offer,
+    pub offer: UpgradeOffer,
     /// Header lines that go to the server as they are, each whole.
     pub passed: String,
     /// What the client calls its session.
@@ -91,20 +91,24 @@
 }
 
 /// Reads what an upgrade brings; `None` for a message that is none, or of a profile that is not upgraded.
-fn upgrade(message: &Message, profile: &str, settings: &Websocket) -> Result<Option<Upgrade>, Refusal> {
+fn upgrade(
+    message: &Message, profile: &str, settings: &Websocket,
+) -> Result<Option<Upgrade>, UpgradeRefusal> {
     let lines = message.fields();
-    if !settings.profiles.iter().any(|name| name == profile) || !handshake::asks(lines) {
+    if !settings.profiles.iter().any(|name| name == profile) || !handshake::requests_websocket(lines) {
         return Ok(None);
     }
-    let offer = handshake::offered(&message.method, message.minor, lines)?;
+    let offer = handshake::parse_offer(&message.method, message.minor, lines)?;
     if !message.body.is_empty() {
-        return Err(Refusal::Malformed("body"));
+        return Err(UpgradeRefusal::Malformed("body"));
     }
     let named = |name: &str, what| {
         let value = message.header(&name.to_ascii_lowercase()).filter(|_| !name.is_empty());
         let plain =
             |text: &str| !text.is_empty() && text.len() <= 128 && text.bytes().all(|b| b.is_ascii_graphic());
-        value.map(|text| plain(text).then(|| text.to_owned()).ok_or(Refusal::Malformed(what))).transpose()
+        value
+            .map(|text| plain(text).then(|| text.to_owned()).ok_or(UpgradeRefusal::Malformed(what)))
+            .transpose()
     };
     let key = named(&settings.key_header, "the session's key")?;
     let party = named(&settings.party_header, "the party")?;
@@ -179,8 +183,8 @@
 }
 
 /// The answer to an upgrade that can't be.
-pub fn refused(refusal: Refusal, last: bool) -> Vec<u8> {
-    http::write_answer(refusal.status(), refusal.lines(), b"", last)
+pub fn refused(refusal: UpgradeRefusal, last: bool) -> Vec<u8> {
+    http::write_answer(refusal.status(), refusal.headers(), b"", last)
 }
 
 /// An answer that is its status alone.
--- a/crates/garnetdoor-gateway/src/wire/instance.rs
+++ b/crates/garnetdoor-gateway/src/wire/instance.rs
@@ -16,7 +16,7 @@
     } else {
         format!("Content-Length: {}\r\n", body.len())
     };
-    let upgrade = upgrade.as_ref().map(|upgrade| upgrade.offer.lines() + &upgrade.passed);
+    let upgrade = upgrade.as_ref().map(|upgrade| upgrade.offer.request_headers() + &upgrade.passed);
     let more = upgrade.unwrap_or_default();
     let head = format!(
         "{method} {target} HTTP/1.1\r\nHost: {server}\r\n\
--- a/crates/garnetdoor-gateway/src/wire/relay.rs
+++ b/crates/garnetdoor-gateway/src/wire/relay.rs
@@ -8,8 +8,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
 
 use garnetdoor::host::Micros;
-use garnetdoor_sessions::{End, Glance, SessionId, Side};
-use garnetdoor_websocket::frames::{self, Flow};
+use garnetdoor_sessions::{ConnectionActivity, SessionId, Side, SideEvent};
+use garnetdoor_websocket::frames::{self, FrameFilter};
 use may::net::TcpStream;
 use nix::errno::Errno;
 use nix::sys::socket::{MsgFlags, recv};
@@ -30,7 +30,7 @@
 
 /// What goes from one side to the other.
 struct Way {
-    flow: Flow,
+    flow: FrameFilter,
     /// The close frame that goes once the message under way is over.
     ends: Option<Vec<u8>>,
     /// A close frame has gone, or can't any more: nothing follows.
@@ -68,7 +68,7 @@
         links: [&Arc<Link>; 2], join: &Join, clock: Clock, events: Sender<Event>,
     ) -> Option<Arc<Self>> {
         let way = |side| Way {
-            flow: Flow::new(side, join.compressed, join.message_most),
+            flow: FrameFilter::new(side, join.compressed, join.message_most),
             ends: None,
             done: false,
             cut_off: false,
@@ -130,30 +130,30 @@
     fn pass(&self, ways: &mut [Way; 2], side: Side, to: &Link, bytes: &[u8]) {
         let way = &mut ways[side as usize];
         let fed = way.flow.feed(bytes);
-        if !way.done && (!fed.first.is_empty() || fed.upto > 0) {
-            to.pass(&fed.first, &bytes[..fed.upto], self.clock.now());
+        if !way.done && (!fed.prefix.is_empty() || fed.accepted > 0) {
+            to.pass(&fed.prefix, &bytes[..fed.accepted], self.clock.now());
         }
-        if fed.data {
+        if fed.message_data {
             self.moved.store(self.clock.now(), Ordering::Relaxed);
         }
-        if fed.reached {
+        if fed.end_reached {
             if let Some(frame) = way.ends.take().filter(|_| !way.done) {
                 to.pass(&frame, &[], self.clock.now());
             }
             way.done = true;
         }
-        if let Some(code) = fed.close {
+        if let Some(code) = fed.close_frame {
             way.done = true;
-            self.tell(End::Close(side, code));
+            self.tell(SideEvent::CloseFrame(side, code));
         }
-        if let Some(fault) = fed.fault {
+        if let Some(fault) = fed.error {
             way.cut_off = true;
-            self.tell(End::Fault(side, fault.code()));
+            self.tell(SideEvent::InvalidFrame(side, fault.close_code()));
         }
         self.finish_if_done(ways);
     }
 
-    fn tell(&self, end: End) {
+    fn tell(&self, end: SideEvent) {
         let _ = self.events.send(Event::Session(self.session, end));
     }
 
@@ -178,16 +178,16 @@
                 continue;
             }
             let mask = (to == Side::Server).then_some(parting.mask);
-            let frame = frames::close(parting.codes[to as usize], &parting.reasons[to as usize], mask);
+            let frame = frames::close_frame(parting.codes[to as usize], &parting.reasons[to as usize], mask);
             let link = self.links[to as usize].upgrade();
-            let now = way.flow.end();
+            let now = way.flow.end_after_message();
             if now || (way.cut_off && way.flow.at_frame_end()) {
                 link.iter().for_each(|link| link.pass(&frame, &[], self.clock.now()));
             }
             // Within a frame that gets no end there is no room for a close: the other side sees an orderly end.
             way.done |= now || way.cut_off;
             if way.cut_off {
-                way.flow.mute();
+                way.flow.end_now();
             }
             if !way.done {
                 way.ends = Some(frame);
@@ -204,7 +204,7 @@
         let [client, server] = self.links.each_ref().map(Weak::upgrade);
         if let Some(client) = client {
             if !way.done && way.flow.at_frame_end() {
-                client.pass(&frames::close(code, "", None), &[], self.clock.now());
+                client.pass(&frames::close_frame(code, "", None), &[], self.clock.now());
             }
             client.unrelay();
             client.finish();
@@ -218,7 +218,7 @@
         let ways = self.ways();
         let way = &ways[to.other() as usize];
         if !way.done && way.flow.at_frame_end() {
-            let frame = frames::ping(b"", (to == Side::Server).then_some(mask));
+            let frame = frames::ping_frame(b"", (to == Side::Server).then_some(mask));
             self.links[to as usize]
                 .upgrade()
                 .iter()
@@ -231,9 +231,13 @@
         self.links[side.other() as usize].upgrade().iter().for_each(|link| link.wake());
     }
 
-    pub fn glance(&self) -> Glance {
+    pub fn glance(&self) -> ConnectionActivity {
         let heard = self.heard.each_ref().map(|at| at.load(Ordering::Relaxed));
         let stuck = self.links.each_ref().map(|link| link.upgrade().and_then(|link| link.stuck()));
-        Glance { heard, stuck, moved: self.moved.load(Ordering::Relaxed) as Micros }
+        ConnectionActivity {
+            last_received: heard,
+            write_blocked_since: stuck,
+            last_message: self.moved.load(Ordering::Relaxed) as Micros,
+        }
     }
 }
--- a/crates/garnetdoor-lab/src/attempt.rs
+++ b/crates/garnetdoor-lab/src/attempt.rs
@@ -7,7 +7,7 @@
 use std::thread;
 
 use comfy_table::{Table, presets};
-use garnetdoor_sessions::share::Holding;
+use garnetdoor_sessions::share::ShareEnforcement;
 use indicatif::{ProgressBar, ProgressStyle};
 use plotters::prelude::*;
 
@@ -23,17 +23,17 @@
     pub seeds: u64,
 }
 
-type Design = (&'static str, Holding, Option<i64>);
+type Design = (&'static str, ShareEnforcement, Option<i64>);
 
 /// Ways of holding the share, and of draining; what the daemon does comes last.
 const DESIGNS: [Design; 7] = [
-    ("no holding", Holding::Free, Some(10_000_000)),
-    ("at the door only", Holding::Door, Some(10_000_000)),
-    ("door, all at once", Holding::AtOnce, Some(10_000_000)),
-    ("door, paced, oldest first", Holding::Oldest, Some(10_000_000)),
-    ("drain: none until gone", Holding::Newest, None),
-    ("drain: all at once", Holding::Newest, Some(0)),
-    ("door, paced, newest first; drain over 10 s", Holding::Newest, Some(10_000_000)),
+    ("no holding", ShareEnforcement::Unenforced, Some(10_000_000)),
+    ("at the door only", ShareEnforcement::AdmissionOnly, Some(10_000_000)),
+    ("door, all at once", ShareEnforcement::CloseAtOnce, Some(10_000_000)),
+    ("door, paced, oldest first", ShareEnforcement::PacedOldestFirst, Some(10_000_000)),
+    ("drain: none until gone", ShareEnforcement::PacedNewestFirst, None),
+    ("drain: all at once", ShareEnforcement::PacedNewestFirst, Some(0)),
+    ("door, paced, newest first; drain over 10 s", ShareEnforcement::PacedNewestFirst, Some(10_000_000)),
 ];
 
 type Column = (&'static str, fn(&Outcome) -> f64);
--- a/crates/garnetdoor-operator/src/lib.rs
+++ b/crates/garnetdoor-operator/src/lib.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[schemars(title = "garnetdoor operator file")]
-pub struct Operator {
+pub struct OperatorConfig {
     /// WebSocket upgrades and their sessions; absent: an upgrade is an ordinary ticket.
     #[schemars(with = "Websocket")]
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -26,41 +26,42 @@
 
 /// One thing wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigError {
     /// Where, as a JSON pointer (RFC 6901).
-    pub at: String,
+    pub pointer: String,
     pub found: String,
     pub expected: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        let at = if self.at.is_empty() { "(file)" } else { &self.at };
+        let at = if self.pointer.is_empty() { "(file)" } else { &self.pointer };
         write!(to, "{at}: found {}, expected {}", self.found, self.expected)
     }
 }
 
 /// The file's JSON schema (draft 2020-12).
 pub fn schema() -> Value {
-    schemars::schema_for!(Operator).to_value()
+    schemars::schema_for!(OperatorConfig).to_value()
 }
 
 /// Reads a file's text; reports all faults together. `profiles` are the names that the platform's configuration
 /// knows, or `None` where there is none at hand.
-pub fn read(text: &str, profiles: Option<&[String]>) -> Result<Operator, Vec<Fault>> {
+pub fn parse(text: &str, profiles: Option<&[String]>) -> Result<OperatorConfig, Vec<ConfigError>> {
     let whole = |found: String, expected: &str| {
-        vec![Fault { at: String::new(), found, expected: expected.to_owned() }]
+        vec![ConfigError { pointer: String::new(), found, expected: expected.to_owned() }]
     };
     let file: Value =
         serde_json::from_str(text).map_err(|error| whole(error.to_string(), "a JSON object"))?;
     let schema = jsonschema::validator_for(&schema());
     let schema = schema.map_err(|error| whole(error.to_string(), "a schema of this program"))?;
-    let mut faults: Vec<Fault> = schema.iter_errors(&file).flat_map(|error| faults(&file, &error)).collect();
+    let mut faults: Vec<ConfigError> =
+        schema.iter_errors(&file).flat_map(|error| faults(&file, &error)).collect();
     // What the schema faults is left out, so that the rest is checked all the same and all faults come together.
     let mut rest = file;
-    faults.iter().for_each(|fault| remove(&mut rest, &fault.at));
+    faults.iter().for_each(|fault| remove(&mut rest, &fault.pointer));
     // A number may be whole and still too large for its type; the schema's ranges leave little of that.
-    let operator = serde_json::from_value::<Operator>(rest);
+    let operator = serde_json::from_value::<OperatorConfig>(rest);
     match operator {
         Ok(operator) => {
             if let Some(websocket) = &operator.websocket {
@@ -82,10 +83,10 @@
 }
 
 /// What the schema's checker found, in our words; one fault for each unknown key.
-fn faults(file: &Value, error: &jsonschema::ValidationError) -> Vec<Fault> {
+fn faults(file: &Value, error: &jsonschema::ValidationError) -> Vec<ConfigError> {
     let at = error.instance_path().as_str().to_owned();
     let value = file.pointer(&at).map_or_else(|| "nothing".to_owned(), short);
-    let fault = |expected: String| vec![Fault { at: at.clone(), found: value.clone(), expected }];
+    let fault = |expected: String| vec![ConfigError { pointer: at.clone(), found: value.clone(), expected }];
     match error.kind() {
         Kind::AdditionalProperties { unexpected } => {
             let known = known(&at);
@@ -93,8 +94,8 @@
                 let best = known.iter().map(|other| (strsim::damerau_levenshtein(key, other), other)).min();
                 best.filter(|(distance, _)| *distance <= 3).map(|(_, other)| other)
             };
-            let unknown = |key: &String| Fault {
-                at: format!("{at}/{}", key.replace('~', "~0").replace('/', "~1")),
+            let unknown = |key: &String| ConfigError {
+                pointer: format!("{at}/{}", key.replace('~', "~0").replace('/', "~1")),
                 found: "an unknown key".to_owned(),
                 expected: match near(key) {
                     Some(near) => format!("a known one, perhaps {near}"),
@@ -106,7 +107,7 @@
         Kind::Required { property } => {
             let key = property.as_str().unwrap_or_default();
             let expected = "a value, since there is no default".to_owned();
-            vec![Fault { at: format!("{at}/{key}"), found: "nothing".to_owned(), expected }]
+            vec![ConfigError { pointer: format!("{at}/{key}"), found: "nothing".to_owned(), expected }]
         }
         Kind::Minimum { limit } => fault(format!("{limit} at least")),
         Kind::Maximum { limit } => fault(format!("{limit} at most")),
--- a/crates/garnetdoor-operator/src/websocket.rs
+++ b/crates/garnetdoor-operator/src/websocket.rs
@@ -4,7 +4,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use crate::Fault;
+use crate::ConfigError;
 
 /// WebSocket upgrades and their sessions. Times are whole milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
@@ -79,50 +79,50 @@
             party_header: String::new(),
             pass_headers: ["Origin", "Cookie", "Authorization"].map(str::to_owned).to_vec(),
             opening_ms: 5_000,
-            sessions: count(limits.sessions),
-            sessions_per_server: count(limits.per_server),
-            sessions_per_party: count(limits.per_party),
-            message_bytes: limits.message_most,
-            ping_ms: ms(limits.ping),
-            silence_ms: ms(limits.silence),
-            slow_ms: ms(limits.slow),
-            idle_ms: limits.idle.map_or(0, ms),
-            close_ms: ms(limits.close),
-            settled_ms: ms(limits.settled),
-            drain_ms: ms(limits.drain),
-            replace_ms: ms(limits.replace),
-            come_back_ms: vec![ms(limits.come_back.0), ms(limits.come_back.1)],
+            sessions: count(limits.max_sessions),
+            sessions_per_server: count(limits.max_per_server),
+            sessions_per_party: count(limits.max_per_party),
+            message_bytes: limits.max_message_bytes,
+            ping_ms: ms(limits.ping_after),
+            silence_ms: ms(limits.silence_timeout),
+            slow_ms: ms(limits.write_timeout),
+            idle_ms: limits.idle_timeout.map_or(0, ms),
+            close_ms: ms(limits.close_timeout),
+            settled_ms: ms(limits.settle_time),
+            drain_ms: ms(limits.drain_period),
+            replace_ms: ms(limits.takeover_cooldown),
+            come_back_ms: vec![ms(limits.retry_after_range.0), ms(limits.retry_after_range.1)],
         }
     }
 }
 
 impl Websocket {
     /// The limits as the sessions keep them.
-    pub fn limits(&self) -> Limits {
+    pub fn session_limits(&self) -> Limits {
         let micros = |ms: u64| ms as i64 * 1_000;
         let ends = |at: usize| self.come_back_ms.get(at).copied().map_or(1_000, micros);
         Limits {
-            sessions: self.sessions as usize,
-            per_server: self.sessions_per_server as usize,
-            per_party: self.sessions_per_party as usize,
-            message_most: self.message_bytes,
-            ping: micros(self.ping_ms),
-            silence: micros(self.silence_ms),
-            slow: micros(self.slow_ms),
-            idle: (self.idle_ms > 0).then_some(micros(self.idle_ms)),
-            close: micros(self.close_ms),
-            settled: micros(self.settled_ms),
-            drain: micros(self.drain_ms),
-            replace: micros(self.replace_ms),
-            come_back: (ends(0), ends(1)),
+            max_sessions: self.sessions as usize,
+            max_per_server: self.sessions_per_server as usize,
+            max_per_party: self.sessions_per_party as usize,
+            max_message_bytes: self.message_bytes,
+            ping_after: micros(self.ping_ms),
+            silence_timeout: micros(self.silence_ms),
+            write_timeout: micros(self.slow_ms),
+            idle_timeout: (self.idle_ms > 0).then_some(micros(self.idle_ms)),
+            close_timeout: micros(self.close_ms),
+            settle_time: micros(self.settled_ms),
+            drain_period: micros(self.drain_ms),
+            takeover_cooldown: micros(self.replace_ms),
+            retry_after_range: (ends(0), ends(1)),
         }
     }
 
     /// What is wrong that a schema can't say.
-    pub(crate) fn faults(&self, profiles: Option<&[String]>) -> Vec<Fault> {
+    pub(crate) fn faults(&self, profiles: Option<&[String]>) -> Vec<ConfigError> {
         let mut faults = Vec::new();
         let mut fault = |key: &str, found: String, expected: String| {
-            faults.push(Fault { at: format!("/websocket/{key}"), found, expected });
+            faults.push(ConfigError { pointer: format!("/websocket/{key}"), found, expected });
         };
         if self.profiles.is_empty() {
             fault("profiles", "nothing".to_owned(), "the name of one profile at least".to_owned());
--- a/crates/garnetdoor-sessions/src/share.rs
+++ b/crates/garnetdoor-sessions/src/share.rs
@@ -13,28 +13,28 @@
 /// How what stands is held to its share. A gateway holds it by the default; the others are the baselines that the
 /// emulator compares it with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Holding {
+pub enum ShareEnforcement {
     /// Not at all.
-    Free,
+    Unenforced,
     /// Upgrades past it are not opened; nothing is closed.
-    Door,
+    AdmissionOnly,
     /// What is past it is closed too, all in one moment.
-    AtOnce,
+    CloseAtOnce,
     /// Paced, the oldest first.
-    Oldest,
+    PacedOldestFirst,
     /// Paced, the newest first.
     #[default]
-    Newest,
+    PacedNewestFirst,
 }
 
 /// Whether one more session may stand on a build with this share, of `on` there among `all`.
-pub fn opens(share: f64, on: usize, all: usize) -> bool {
+pub fn may_open(share: f64, on: usize, all: usize) -> bool {
     share >= 1.0 || (share > 0.0 && (on + 1) as f64 <= FREE + share * (all + 1) as f64)
 }
 
 /// How many sessions of a build are over its share and have to be closed, of `on` there among `all`. Those that
 /// close count as gone from both: whether they come back is not known.
-pub fn over(share: f64, on: usize, all: usize) -> usize {
+pub fn excess(share: f64, on: usize, all: usize) -> usize {
     if share <= 0.0 {
         return on;
     }
--- a/crates/garnetdoor-sessions/src/state.rs
+++ b/crates/garnetdoor-sessions/src/state.rs
@@ -8,7 +8,7 @@
 use garnetdoor_websocket::frames::Side;
 
 use crate::limits::Limits;
-use crate::share::{self, Holding};
+use crate::share::{self, ShareEnforcement};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
@@ -42,46 +42,46 @@
 
 /// What a client calls its session, so that it can take it up again.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key(pub Rc<str>);
+pub struct SessionKey(pub Rc<str>);
 
 /// What a profile's openings do when they run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
+pub enum Repeatability {
     /// No harm.
-    Harmless,
+    Repeatable,
     /// An effect of its own: tagged and once-only ones.
-    Never,
+    NotRepeatable,
 }
 
 /// An upgrade that asks to be taken.
 #[derive(Clone, Debug)]
-pub struct Opening {
+pub struct UpgradeRequest {
     pub profile: ProfileId,
-    pub repeats: Repeats,
+    pub repeatability: Repeatability,
     pub party: Party,
-    pub key: Option<Key>,
+    pub key: Option<SessionKey>,
 }
 
-macro_rules! whys {
+macro_rules! end_reasons {
     ($($(#[$doc:meta])* $name:ident = $code:literal,)*) => {
-        /// Why a session, or an opening, ended or was turned back; the code stands in its log line.
+        /// EndReason a session, or an opening, ended or was turned back; the code stands in its log line.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-        pub enum Why { $($(#[$doc])* $name,)* }
+        pub enum EndReason { $($(#[$doc])* $name,)* }
 
-        impl Why {
+        impl EndReason {
             /// The word for it in log lines.
             pub fn code(self) -> &'static str {
-                match self { $(Why::$name => $code,)* }
+                match self { $(EndReason::$name => $code,)* }
             }
         }
     };
 }
 
-whys! {
+end_reasons! {
     /// There are as many sessions as there may be.
-    Full = "sessions-full",
+    TooManySessions = "sessions-full",
     /// The party has as many as it may have.
-    PartyFull = "party-full",
+    TooManyForParty = "party-full",
     /// The key was taken over just now.
     KeyContested = "key-contested",
     /// An opening of the same key may have run and must not run twice.
@@ -89,75 +89,75 @@
     Stopping = "stopping",
     /// Another opening with the same key took its place.
     Replaced = "replaced",
-    /// More sessions stood on a build than its share.
+    /// More sessions lifetime on a build than its share.
     OverShare = "over-share",
     Drain = "drain",
     /// The server is gone, or another process has its id.
-    Gone = "gone",
+    ServerGone = "gone",
     /// A reload lowered a limit.
     OverLimit = "over-limit",
     /// A reload took the profile, or all, out.
-    Unlisted = "not-upgraded",
+    UpgradeDisabled = "not-upgraded",
     ClientClosed = "client-closed",
     ServerClosed = "server-closed",
     /// The client's connection ended without a close.
-    ClientLeft = "client-left",
+    ClientDisconnected = "client-left",
     /// The server's did.
-    ServerBroke = "server-broke",
+    ServerDisconnected = "server-broke",
     ClientSilent = "client-silent",
     ServerSilent = "server-silent",
     ClientSlow = "client-slow",
     ServerSlow = "server-slow",
-    ClientFault = "client-fault",
-    ServerFault = "server-fault",
+    ClientProtocolError = "client-fault",
+    ServerProtocolError = "server-fault",
     /// No message for long.
     Idle = "idle",
     /// It did not close in its time.
-    CloseLate = "close-late",
+    CloseTimeout = "close-late",
 }
 
 /// How a session may go on, or that it may not.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    Taken(SessionId),
+    Accepted(SessionId),
     /// Trying again does no harm, after this time.
-    TurnedBack {
-        why: Why,
-        come_back_in: Micros,
+    Rejected {
+        reason: EndReason,
+        retry_after: Micros,
     },
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// An opening is over: its ticket gets its final answer and its trips are given up.
-    GiveUp {
+    AbandonOpening {
         session: SessionId,
-        come_back_in: Micros,
+        retry_after: Micros,
     },
     /// Close frames at both sides, at a message's end; a time to come back is told to the client.
     Close {
         session: SessionId,
-        why: Why,
-        client: u16,
-        server: u16,
-        again_in: Option<Micros>,
+        reason: EndReason,
+        client_code: u16,
+        server_code: u16,
+        reconnect_after: Option<Micros>,
     },
     /// Both connections end now, the client's after a close frame if there is room for one.
-    Cut {
+    Abort {
         session: SessionId,
-        why: Why,
-        client: u16,
+        reason: EndReason,
+        client_code: u16,
     },
     Ping(SessionId, Side),
-    /// Nothing is left of a session, which stood for so long.
+    /// Nothing is left of a session, which lifetime for so long.
     Ended {
         session: SessionId,
-        why: Why,
-        stood: Micros,
+        reason: EndReason,
+        lifetime: Micros,
     },
-    /// A session has stood, or has not, as its build's should.
-    Judge {
+    /// A session has lifetime, or has not, as its build's should.
+    RecordOutcome {
         server: ServerId,
         build: BuildNo,
         profile: ProfileId,
@@ -167,24 +167,24 @@
 
 /// What the connections show of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Glance {
-    /// When each side was heard last.
-    pub heard: [Micros; 2],
+pub struct ConnectionActivity {
+    /// When each side was last_received last.
+    pub last_received: [Micros; 2],
     /// Since when something waits that this side does not take.
-    pub stuck: [Option<Micros>; 2],
-    /// When a message last moved.
-    pub moved: Micros,
+    pub write_blocked_since: [Option<Micros>; 2],
+    /// When a message last last_message.
+    pub last_message: Micros,
 }
 
 /// What ended at a session, from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum SideEvent {
     /// This side sent a close frame, with a code if there was one.
-    Close(Side, Option<u16>),
+    CloseFrame(Side, Option<u16>),
     /// This side sent a bad frame; the code that it is told.
-    Fault(Side, u16),
+    InvalidFrame(Side, u16),
     /// This side's connection has ended.
-    Gone(Side),
+    Disconnected(Side),
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -197,25 +197,25 @@
 }
 
 struct Session {
-    opening: Opening,
+    opening: UpgradeRequest,
     stage: Stage,
     server: ServerId,
     build: BuildNo,
     opened: Micros,
-    /// Why it ends, once it does.
-    why: Option<Why>,
-    plan: Option<(Micros, Why)>,
+    /// EndReason it ends, once it does.
+    reason: Option<EndReason>,
+    plan: Option<(Micros, EndReason)>,
     gone: [bool; 2],
     pinged: [Micros; 2],
     judged: bool,
 }
 
-type Slot = (Party, ProfileId, Key);
+type Slot = (Party, ProfileId, SessionKey);
 
 /// All sessions of a gateway.
 pub struct Sessions {
     limits: Limits,
-    holding: Holding,
+    enforcement: ShareEnforcement,
     chance: oorandom::Rand64,
     next: u64,
     sessions: BTreeMap<SessionId, Session>,
@@ -238,7 +238,7 @@
     cuts: BTreeSet<(Micros, SessionId)>,
     settling: VecDeque<(Micros, SessionId)>,
     stopping: bool,
-    acts: Vec<Act>,
+    actions: Vec<Action>,
 }
 
 impl Sessions {
@@ -246,7 +246,7 @@
     pub fn new(limits: Limits, seed: u64) -> Self {
         Sessions {
             limits,
-            holding: Holding::default(),
+            enforcement: ShareEnforcement::default(),
             chance: oorandom::Rand64::new(u128::from(seed)),
             next: 0,
             sessions: BTreeMap::new(),
@@ -262,19 +262,19 @@
             cuts: BTreeSet::new(),
             settling: VecDeque::new(),
             stopping: false,
-            acts: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
-    /// The same with another way of holding the share.
-    pub fn held(mut self, holding: Holding) -> Self {
-        self.holding = holding;
+    /// The same with another way of enforcement the share.
+    pub fn with_share_enforcement(mut self, enforcement: ShareEnforcement) -> Self {
+        self.enforcement = enforcement;
         self
     }
 
     /// Takes what is to be done, in order.
-    pub fn acts(&mut self) -> Vec<Act> {
-        std::mem::take(&mut self.acts)
+    pub fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 
     pub fn limits(&self) -> &Limits {
@@ -287,12 +287,12 @@
     }
 
     /// Open sessions on a build, and in all.
-    pub fn standing(&self, build: BuildNo) -> (usize, usize) {
+    pub fn open_counts(&self, build: BuildNo) -> (usize, usize) {
         (self.on_build.get(&build).map_or(0, BTreeSet::len), self.open)
     }
 
     /// When something is due next.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Micros> {
         let firsts = [self.plan.first(), self.cuts.first(), self.settling.front()];
         firsts.into_iter().flatten().map(|(at, _)| *at).min()
     }
@@ -301,11 +301,11 @@
 
     /// An upgrade asks to be taken. Of two with the same key the newer one holds: a client that opens again knows
     /// that its last one is of no use, though that may look alive here for long.
-    pub fn asked(&mut self, now: Micros, opening: Opening) -> Admission {
+    pub fn request_upgrade(&mut self, now: Micros, opening: UpgradeRequest) -> Admission {
         let slot = opening.key.clone().map(|key| (opening.party.clone(), opening.profile, key));
         let older = slot.as_ref().and_then(|slot| self.keys.get(slot)).copied();
-        if let Some(why) = self.refuses(now, &opening, slot.as_ref(), older) {
-            return Admission::TurnedBack { why, come_back_in: self.come_back() };
+        if let Some(reason) = self.refuses(now, &opening, slot.as_ref(), older) {
+            return Admission::Rejected { reason, retry_after: self.come_back() };
         }
         if let (Some(older), Some(slot)) = (older, &slot) {
             self.replace(now, older);
@@ -326,67 +326,69 @@
             server: ServerId::default(),
             build: BuildNo::default(),
             opened: now,
-            why: None,
+            reason: None,
             plan: None,
             gone: [false; 2],
             pinged: [0; 2],
             judged: false,
         };
         self.sessions.insert(id, session);
-        Admission::Taken(id)
+        Admission::Accepted(id)
     }
 
-    /// Why an upgrade is turned back, if it is. One that takes another's place needs no room of its own.
+    /// EndReason an upgrade is turned back, if it is. One that takes another's place needs no room of its own.
     fn refuses(
-        &mut self, now: Micros, opening: &Opening, slot: Option<&Slot>, older: Option<SessionId>,
-    ) -> Option<Why> {
+        &mut self, now: Micros, opening: &UpgradeRequest, slot: Option<&Slot>, older: Option<SessionId>,
+    ) -> Option<EndReason> {
         let of_party = self.parties.get(&opening.party).copied().unwrap_or(0);
         let stands = older.and_then(|id| self.sessions.get(&id));
-        while self.replaced.front().is_some_and(|(at, _)| now - at >= self.limits.replace) {
+        while self.replaced.front().is_some_and(|(at, _)| now - at >= self.limits.takeover_cooldown) {
             self.replaced.pop_front();
         }
         if self.stopping {
-            Some(Why::Stopping)
+            Some(EndReason::Stopping)
         } else if let Some(stands) = stands {
             // No effect twice: what may have run is not run again under another ticket's id.
             let out = matches!(stands.stage, Stage::Opening(Some(_)));
-            let never = opening.repeats == Repeats::Never || stands.opening.repeats == Repeats::Never;
+            let never = opening.repeatability == Repeatability::NotRepeatable
+                || stands.opening.repeatability == Repeatability::NotRepeatable;
             // Guards against two clients of one party that call their sessions the same and throw each other out
             // as fast as they can come back. Harm: one that comes back twice within that time waits for it.
             let contested = slot.is_some_and(|slot| self.replaced.iter().any(|(_, other)| other == slot));
-            (out && never).then_some(Why::KeyOpening).or(contested.then_some(Why::KeyContested))
-        } else if self.sessions.len() >= self.limits.sessions {
-            Some(Why::Full)
+            (out && never).then_some(EndReason::KeyOpening).or(contested.then_some(EndReason::KeyContested))
+        } else if self.sessions.len() >= self.limits.max_sessions {
+            Some(EndReason::TooManySessions)
         } else {
-            (of_party >= self.limits.per_party).then_some(Why::PartyFull)
+            (of_party >= self.limits.max_per_party).then_some(EndReason::TooManyForParty)
         }
     }
 
     fn replace(&mut self, now: Micros, older: SessionId) {
         match self.sessions.get(&older).map(|session| session.stage) {
             Some(Stage::Opening(_)) => {
-                let come_back_in = self.come_back();
-                self.acts.push(Act::GiveUp { session: older, come_back_in });
-                self.not_opened(now, older);
+                let retry_after = self.come_back();
+                self.actions.push(Action::AbandonOpening { session: older, retry_after });
+                self.opening_failed(now, older);
             }
             // Cut and not closed: the server must not have both, and the client of the old one is as good as gone.
-            Some(Stage::Open | Stage::Closing(_)) => self.cut(now, older, Why::Replaced, 1000),
+            Some(Stage::Open | Stage::Closing(_)) => self.cut(now, older, EndReason::Replaced, 1000),
             None => {}
         }
     }
 
     /// Whether a session of this opening may stand on that server, by the server's limit and its build's share.
-    /// Openings that are out count as if they stood.
+    /// Openings that are out count as if they lifetime.
     pub fn has_room(&self, server: ServerId, build: BuildNo) -> bool {
         let there = self.on_server.get(&server).map_or(0, BTreeSet::len);
-        let share = self.shares.get(&build).filter(|_| self.holding != Holding::Free);
+        let share = self.shares.get(&build).filter(|_| self.enforcement != ShareEnforcement::Unenforced);
         let opening = self.opening.get(&build).copied().unwrap_or(0);
-        let (on, all) = self.standing(build);
-        there < self.limits.per_server && share.is_none_or(|share| share::opens(*share, on + opening, all))
+        let (on, all) = self.open_counts(build);
+        there < self.limits.max_per_server
+            && share.is_none_or(|share| share::may_open(*share, on + opening, all))
     }
 
     /// A trip of the opening goes out.
-    pub fn sent(&mut self, id: SessionId, server: ServerId, build: BuildNo) {
+    pub fn attempt_sent(&mut self, id: SessionId, server: ServerId, build: BuildNo) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Stage::Opening(before) = session.stage else { return };
         session.stage = Stage::Opening(Some((server, build)));
@@ -426,21 +428,21 @@
         self.on_server.entry(server).or_default().insert(id);
         self.on_build.entry(build).or_default().insert(id);
         self.open += 1;
-        self.settling.push_back((now + self.limits.settled, id));
+        self.settling.push_back((now + self.limits.settle_time, id));
         match listed {
             Condition::Healthy => {}
             // Its server was told to drain while the upgrade was out: it goes with the others there.
             Condition::Draining => {
-                let wait = self.between(0, self.limits.drain);
-                self.plan(id, now + wait, Why::Drain);
+                let wait = self.between(0, self.limits.drain_period);
+                self.plan(id, now + wait, EndReason::Drain);
             }
-            Condition::Gone => self.cut(now, id, Why::Gone, 1012),
+            Condition::Gone => self.cut(now, id, EndReason::ServerGone, 1012),
         }
         self.level(now);
     }
 
     /// The opening's ticket is over without a session.
-    pub fn not_opened(&mut self, now: Micros, id: SessionId) {
+    pub fn opening_failed(&mut self, now: Micros, id: SessionId) {
         if self.sessions.get(&id).is_some_and(|session| matches!(session.stage, Stage::Opening(_))) {
             self.forget(now, id);
         }
@@ -449,104 +451,111 @@
     // ---- what stands ----
 
     /// What the list says of a server now: `same` if it is the process that its sessions are on.
-    pub fn listed(&mut self, now: Micros, server: ServerId, condition: Condition, same: bool) {
+    pub fn update_server(&mut self, now: Micros, server: ServerId, condition: Condition, same: bool) {
         let there: Vec<_> = self.on_server.get(&server).into_iter().flatten().copied().collect();
         let open =
             there.into_iter().filter(|id| self.sessions.get(id).is_some_and(|s| s.stage == Stage::Open));
         let open: Vec<_> = open.collect();
         match condition {
-            _ if !same => open.iter().for_each(|id| self.cut(now, *id, Why::Gone, 1012)),
-            Condition::Gone => open.iter().for_each(|id| self.cut(now, *id, Why::Gone, 1012)),
-            Condition::Draining => self.spread(now, &open, self.limits.drain, Why::Drain),
+            _ if !same => open.iter().for_each(|id| self.cut(now, *id, EndReason::ServerGone, 1012)),
+            Condition::Gone => open.iter().for_each(|id| self.cut(now, *id, EndReason::ServerGone, 1012)),
+            Condition::Draining => self.spread(now, &open, self.limits.drain_period, EndReason::Drain),
             // The drain was taken back: those that are left stay.
-            Condition::Healthy => open.iter().for_each(|id| self.unplan(*id, Why::Drain)),
+            Condition::Healthy => open.iter().for_each(|id| self.unplan(*id, EndReason::Drain)),
         }
     }
 
     /// The builds on trial or going back, and the share that each may have.
-    pub fn told(&mut self, now: Micros, shares: BTreeMap<BuildNo, f64>) {
+    pub fn set_shares(&mut self, now: Micros, shares: BTreeMap<BuildNo, f64>) {
         if self.shares != shares {
             self.shares = shares;
             self.level(now);
         }
     }
 
-    /// What the connections show of a session; asked for every [`Limits::glances`].
-    pub fn glanced(&mut self, now: Micros, id: SessionId, seen: Glance) {
+    /// What the connections show of a session; asked for every [`Limits::activity_check_interval`].
+    pub fn observe_activity(&mut self, now: Micros, id: SessionId, seen: ConnectionActivity) {
         let limits = &self.limits;
         let Some(session) = self.sessions.get_mut(&id).filter(|s| s.stage == Stage::Open) else { return };
-        for (side, why) in Side::BOTH.into_iter().zip([Why::ClientSlow, Why::ServerSlow]) {
-            if seen.stuck[side as usize].is_some_and(|since| now - since > limits.slow) {
-                return self.lost(now, id, side, why);
+        for (side, reason) in Side::BOTH.into_iter().zip([EndReason::ClientSlow, EndReason::ServerSlow]) {
+            if seen.write_blocked_since[side as usize].is_some_and(|since| now - since > limits.write_timeout)
+            {
+                return self.lost(now, id, side, reason);
             }
         }
-        for (side, why) in Side::BOTH.into_iter().zip([Why::ClientSilent, Why::ServerSilent]) {
-            if now - seen.heard[side as usize] > limits.silence {
-                return self.lost(now, id, side, why);
+        for (side, reason) in Side::BOTH.into_iter().zip([EndReason::ClientSilent, EndReason::ServerSilent]) {
+            if now - seen.last_received[side as usize] > limits.silence_timeout {
+                return self.lost(now, id, side, reason);
             }
         }
         for side in Side::BOTH {
-            let quiet = now - seen.heard[side as usize].max(session.pinged[side as usize]);
-            if quiet > limits.ping {
+            let quiet = now - seen.last_received[side as usize].max(session.pinged[side as usize]);
+            if quiet > limits.ping_after {
                 session.pinged[side as usize] = now;
-                self.acts.push(Act::Ping(id, side));
+                self.actions.push(Action::Ping(id, side));
             }
         }
-        let idle = self.limits.idle.is_some_and(|idle| now - seen.moved.max(session.opened) > idle);
+        let idle =
+            self.limits.idle_timeout.is_some_and(|idle| now - seen.last_message.max(session.opened) > idle);
         if idle && session.plan.is_none() {
-            self.close(now, id, Why::Idle, (1001, 1001), self.limits.close);
+            self.close(now, id, EndReason::Idle, (1001, 1001), self.limits.close_timeout);
         }
     }
 
     /// One side is of no more use. A server that falls silent is as good as gone, which its client is told, so
     /// that it comes back; a client's end is told to its server.
-    fn lost(&mut self, now: Micros, id: SessionId, side: Side, why: Why) {
-        if why == Why::ServerSilent {
+    fn lost(&mut self, now: Micros, id: SessionId, side: Side, reason: EndReason) {
+        if reason == EndReason::ServerSilent {
             self.judge(id, true);
         }
-        self.cut(now, id, why, if side == Side::Server { 1012 } else { 1001 });
+        self.cut(now, id, reason, if side == Side::Server { 1012 } else { 1001 });
     }
 
     /// A side ends the session, well or badly.
-    pub fn ends(&mut self, now: Micros, id: SessionId, end: End) {
+    pub fn handle_side_event(&mut self, now: Micros, id: SessionId, end: SideEvent) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let open = session.stage == Stage::Open;
         match end {
-            End::Close(side, code) if open => {
+            SideEvent::CloseFrame(side, code) if open => {
                 // A server's own word that it erred speaks of its build, however late it comes.
                 if side == Side::Server && code == Some(1011) {
                     self.judge(id, true);
                 }
-                let why = if side == Side::Client { Why::ClientClosed } else { Why::ServerClosed };
+                let reason =
+                    if side == Side::Client { EndReason::ClientClosed } else { EndReason::ServerClosed };
                 // The frame itself has gone on; the other side answers it.
-                self.closes(now, id, why, self.limits.close);
+                self.closes(now, id, reason, self.limits.close_timeout);
             }
-            End::Fault(side, code) if open => {
-                let (why, client, server) = match side {
-                    Side::Client => (Why::ClientFault, code, 1001),
-                    Side::Server => (Why::ServerFault, 1011, code),
+            SideEvent::InvalidFrame(side, code) if open => {
+                let (reason, client, server) = match side {
+                    Side::Client => (EndReason::ClientProtocolError, code, 1001),
+                    Side::Server => (EndReason::ServerProtocolError, 1011, code),
                 };
                 if side == Side::Server {
                     self.judge(id, true);
                 }
-                self.close(now, id, why, (client, server), self.limits.close);
+                self.close(now, id, reason, (client, server), self.limits.close_timeout);
             }
-            End::Gone(side) => {
+            SideEvent::Disconnected(side) => {
                 session.gone[side as usize] = true;
                 if session.gone == [true; 2] {
                     return self.forget(now, id);
                 }
                 if open {
-                    let why = if side == Side::Client { Why::ClientLeft } else { Why::ServerBroke };
-                    let early = now - session.opened < self.limits.settled;
+                    let reason = if side == Side::Client {
+                        EndReason::ClientDisconnected
+                    } else {
+                        EndReason::ServerDisconnected
+                    };
+                    let early = now - session.opened < self.limits.settle_time;
                     let planned = session.plan.is_some();
                     if side == Side::Server && early && !planned {
                         self.judge(id, true);
                     }
-                    self.close(now, id, why, (1012, 1001), self.limits.close);
+                    self.close(now, id, reason, (1012, 1001), self.limits.close_timeout);
                 }
             }
-            End::Close(..) | End::Fault(..) => {}
+            SideEvent::CloseFrame(..) | SideEvent::InvalidFrame(..) => {}
         }
     }
 
@@ -557,7 +566,7 @@
         let standing: Vec<_> = self.sessions.iter().filter(|(_, s)| stands(s)).map(|(id, _)| *id).collect();
         let (kept, unlisted): (Vec<_>, Vec<_>) =
             standing.into_iter().partition(|id| keeps(self.sessions[id].opening.profile));
-        self.spread(now, &unlisted, self.limits.drain, Why::Unlisted);
+        self.spread(now, &unlisted, self.limits.drain_period, EndReason::UpgradeDisabled);
         let mut over = BTreeSet::new();
         let (mut servers, mut parties): (BTreeMap<ServerId, usize>, BTreeMap<&Party, usize>) =
             Default::default();
@@ -567,12 +576,12 @@
             let own = parties.entry(&session.opening.party).or_default();
             (*there, *own) = (*there + 1, *own + 1);
             let limits = &self.limits;
-            if at >= limits.sessions || *there > limits.per_server || *own > limits.per_party {
+            if at >= limits.max_sessions || *there > limits.max_per_server || *own > limits.max_per_party {
                 over.insert(*id);
             }
         }
         let over: Vec<_> = over.into_iter().collect();
-        self.spread(now, &over, self.limits.drain, Why::OverLimit);
+        self.spread(now, &over, self.limits.drain_period, EndReason::OverLimit);
     }
 
     /// The gateway stops: what stands is closed over the time that there is, and nothing more is taken.
@@ -581,7 +590,7 @@
         let open: Vec<_> =
             self.sessions.iter().filter(|(_, s)| s.stage == Stage::Open).map(|(id, _)| *id).collect();
         open.iter().for_each(|id| self.unplan_any(*id));
-        self.spread(now, &open, STOP_SPREAD, Why::Stopping);
+        self.spread(now, &open, STOP_SPREAD, EndReason::Stopping);
     }
 
     /// Time has passed.
@@ -589,19 +598,19 @@
         while let Some((at, id)) = self.plan.first().copied().filter(|(at, _)| *at <= now) {
             self.plan.remove(&(at, id));
             let planned = self.sessions.get_mut(&id).and_then(|session| session.plan.take());
-            let Some((_, why)) = planned else { continue };
-            let within = match why {
-                Why::OverShare if !self.is_over(id) => continue,
-                Why::OverShare => SHARE_CLOSE,
-                Why::Stopping => STOP_CLOSE,
-                _ => self.limits.close,
+            let Some((_, reason)) = planned else { continue };
+            let within = match reason {
+                EndReason::OverShare if !self.is_over(id) => continue,
+                EndReason::OverShare => SHARE_CLOSE,
+                EndReason::Stopping => STOP_CLOSE,
+                _ => self.limits.close_timeout,
             };
-            let code = if why == Why::Stopping { 1001 } else { 1012 };
-            self.close(now, id, why, (code, 1001), within);
+            let code = if reason == EndReason::Stopping { 1001 } else { 1012 };
+            self.close(now, id, reason, (code, 1001), within);
         }
         while let Some((at, id)) = self.cuts.first().copied().filter(|(at, _)| *at <= now) {
             self.cuts.remove(&(at, id));
-            self.cut(now, id, Why::CloseLate, 1012);
+            self.cut(now, id, EndReason::CloseTimeout, 1012);
         }
         while let Some((_, id)) = self.settling.front().copied().filter(|(at, _)| *at <= now) {
             self.settling.pop_front();
@@ -615,22 +624,26 @@
 
     /// Plans closings evenly over a time. Guards against a herd: a thousand clients that come back at once would
     /// meet what is left of the fleet, cold machines among it, within one moment.
-    fn spread(&mut self, now: Micros, ids: &[SessionId], over: Micros, why: Why) {
+    fn spread(&mut self, now: Micros, ids: &[SessionId], over: Micros, reason: EndReason) {
         let ids: Vec<_> = ids.iter().filter(|id| self.sessions[id].plan.is_none()).copied().collect();
         for (at, id) in ids.iter().enumerate() {
-            self.plan(*id, now + over * at as Micros / ids.len() as Micros, why);
+            self.plan(*id, now + over * at as Micros / ids.len() as Micros, reason);
         }
     }
 
-    fn plan(&mut self, id: SessionId, at: Micros, why: Why) {
+    fn plan(&mut self, id: SessionId, at: Micros, reason: EndReason) {
         if let Some(session) = self.sessions.get_mut(&id) {
-            session.plan = Some((at, why));
+            session.plan = Some((at, reason));
             self.plan.insert((at, id));
         }
     }
 
-    fn unplan(&mut self, id: SessionId, why: Why) {
-        if self.sessions.get(&id).is_some_and(|session| session.plan.is_some_and(|(_, other)| other == why)) {
+    fn unplan(&mut self, id: SessionId, reason: EndReason) {
+        if self
+            .sessions
+            .get(&id)
+            .is_some_and(|session| session.plan.is_some_and(|(_, other)| other == reason))
+        {
             self.unplan_any(id);
         }
     }
@@ -643,28 +656,28 @@
 
     fn is_over(&self, id: SessionId) -> bool {
         let Some(session) = self.sessions.get(&id) else { return false };
-        let (on, all) = self.standing(session.build);
+        let (on, all) = self.open_counts(session.build);
         self.shares
             .get(&session.build)
-            .is_some_and(|share| on > 0 && !share::opens(*share, on - 1, all.max(1) - 1))
+            .is_some_and(|share| on > 0 && !share::may_open(*share, on - 1, all.max(1) - 1))
     }
 
     /// Closes what is over a build's share, newest first: those have shown least and cost their clients least,
     /// and the oldest are most likely to be in the middle of something. Paced, since all of them come back.
     fn level(&mut self, now: Micros) {
-        let over = match self.holding {
-            Holding::Free | Holding::Door => return,
-            Holding::AtOnce => 0,
-            Holding::Oldest | Holding::Newest => SHARE_SPREAD,
+        let over = match self.enforcement {
+            ShareEnforcement::Unenforced | ShareEnforcement::AdmissionOnly => return,
+            ShareEnforcement::CloseAtOnce => 0,
+            ShareEnforcement::PacedOldestFirst | ShareEnforcement::PacedNewestFirst => SHARE_SPREAD,
         };
         for (build, share) in self.shares.clone() {
-            let (on, all) = self.standing(build);
-            let excess = share::over(share, on, all);
+            let (on, all) = self.open_counts(build);
+            let excess = share::excess(share, on, all);
             if excess == 0 {
                 continue;
             }
             let mut there: Vec<_> = self.on_build.get(&build).into_iter().flatten().rev().copied().collect();
-            if self.holding == Holding::Oldest {
+            if self.enforcement == ShareEnforcement::PacedOldestFirst {
                 there.reverse();
             }
             let soon = now + SHARE_SPREAD;
@@ -674,26 +687,35 @@
                 there.iter().filter(|id| !goes(id)).take(excess.saturating_sub(going)).copied().collect();
             // A closing that is due much later, as a drain's may be, comes sooner instead.
             more.iter().for_each(|id| self.unplan_any(*id));
-            self.spread(now, &more, over, Why::OverShare);
+            self.spread(now, &more, over, EndReason::OverShare);
         }
     }
 
     /// Has both sides told that the session closes.
-    fn close(&mut self, now: Micros, id: SessionId, why: Why, (client, server): (u16, u16), within: Micros) {
+    fn close(
+        &mut self, now: Micros, id: SessionId, reason: EndReason, (client, server): (u16, u16),
+        within: Micros,
+    ) {
         let comes_back = client == 1012 || client == 1001;
-        let again_in = comes_back.then(|| self.between(0, AGAIN_MOST));
-        self.closes(now, id, why, within);
-        self.acts.push(Act::Close { session: id, why, client, server, again_in });
+        let reconnect_after = comes_back.then(|| self.between(0, AGAIN_MOST));
+        self.closes(now, id, reason, within);
+        self.actions.push(Action::Close {
+            session: id,
+            reason,
+            client_code: client,
+            server_code: server,
+            reconnect_after,
+        });
     }
 
     /// The session no longer stands; it is cut if it has not ended in time.
-    fn closes(&mut self, now: Micros, id: SessionId, why: Why, within: Micros) {
+    fn closes(&mut self, now: Micros, id: SessionId, reason: EndReason, within: Micros) {
         self.unplan_any(id);
         let Some(session) = self.sessions.get_mut(&id).filter(|session| session.stage == Stage::Open) else {
             return;
         };
         session.stage = Stage::Closing(now + within);
-        session.why = Some(why);
+        session.reason = Some(reason);
         self.cuts.insert((now + within, id));
         self.unstand(id);
         self.level(now);
@@ -711,13 +733,13 @@
     }
 
     /// Ends a session now.
-    fn cut(&mut self, now: Micros, id: SessionId, why: Why, client: u16) {
+    fn cut(&mut self, now: Micros, id: SessionId, reason: EndReason, client_code: u16) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         if matches!(session.stage, Stage::Opening(_)) {
             return;
         }
-        let why = *session.why.get_or_insert(why);
-        self.acts.push(Act::Cut { session: id, why, client });
+        let reason = *session.reason.get_or_insert(reason);
+        self.actions.push(Action::Abort { session: id, reason, client_code });
         self.forget(now, id);
     }
 
@@ -732,10 +754,11 @@
         let Some(session) = self.sessions.remove(&id) else { return };
         if !matches!(stage, Stage::Opening(_)) {
             self.leave_server(id, session.server);
-            let (why, stood) = (session.why.unwrap_or(Why::ClientLeft), now - session.opened);
-            self.acts.push(Act::Ended { session: id, why, stood });
+            let (reason, lifetime) =
+                (session.reason.unwrap_or(EndReason::ClientDisconnected), now - session.opened);
+            self.actions.push(Action::Ended { session: id, reason, lifetime });
         }
-        let Opening { party, key, profile, .. } = session.opening;
+        let UpgradeRequest { party, key, profile, .. } = session.opening;
         if let Some(count) = self.parties.get_mut(&party) {
             *count -= 1;
             if *count == 0 {
@@ -760,12 +783,12 @@
         if !std::mem::replace(&mut session.judged, true) || failed {
             let Session { server, build, .. } = *session;
             let profile = session.opening.profile;
-            self.acts.push(Act::Judge { server, build, profile, failed });
+            self.actions.push(Action::RecordOutcome { server, build, profile, failed });
         }
     }
 
     fn come_back(&mut self) -> Micros {
-        let (least, most) = self.limits.come_back;
+        let (least, most) = self.limits.retry_after_range;
         self.between(least, most)
     }
 
--- a/crates/garnetdoor-websocket/src/frames.rs
+++ b/crates/garnetdoor-websocket/src/frames.rs
@@ -1,6 +1,6 @@
 //! Frames as they pass (RFC 6455, section 5): one direction of a session, in any split.
 //!
-//! A [`Flow`] holds back a frame's head, and a control frame, until it is whole and right, so that nothing of a
+//! A [`FrameFilter`] holds back a frame's head, and a control frame, until it is whole and right, so that nothing of a
 //! bad frame goes on; of a data frame's payload it keeps nothing but up to three bytes of a split character.
 
 use std::io::Cursor;
@@ -33,22 +33,22 @@
 
 /// What is wrong with a frame, in words for a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum FrameError {
     /// It breaks the protocol.
     Protocol(&'static str),
     /// Text, or a close reason, that is not UTF-8.
-    NotText,
+    InvalidUtf8,
     /// A message is larger than allowed.
-    TooBig,
+    TooLarge,
 }
 
-impl Fault {
+impl FrameError {
     /// The close code that tells it (RFC 6455, section 7.4.1).
-    pub fn code(self) -> u16 {
+    pub fn close_code(self) -> u16 {
         match self {
-            Fault::Protocol(_) => 1002,
-            Fault::NotText => 1007,
-            Fault::TooBig => 1009,
+            FrameError::Protocol(_) => 1002,
+            FrameError::InvalidUtf8 => 1007,
+            FrameError::TooLarge => 1009,
         }
     }
 }
@@ -95,26 +95,26 @@
 
 /// What came of some bytes.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Fed {
+pub struct FeedResult {
     /// Bytes held back before that go on now, ahead of the others.
-    pub first: Vec<u8>,
+    pub prefix: Vec<u8>,
     /// So many of the bytes fed go on.
-    pub upto: usize,
+    pub accepted: usize,
     /// A close frame is among them, with its code if it has one.
-    pub close: Option<Option<u16>>,
+    pub close_frame: Option<Option<u16>>,
     /// Part of a message is among them.
-    pub data: bool,
+    pub message_data: bool,
     /// The end that was asked for has just been reached; from here on nothing goes on.
-    pub reached: bool,
+    pub end_reached: bool,
     /// The bytes behind those that go on are bad.
-    pub fault: Option<Fault>,
+    pub error: Option<FrameError>,
 }
 
 /// One direction of a session.
-pub struct Flow {
+pub struct FrameFilter {
     from: Side,
     compressed: bool,
-    message_most: u64,
+    max_message_bytes: u64,
     held: Vec<u8>,
     /// Payload bytes of the frame under way that are still to come.
     left: u64,
@@ -141,14 +141,14 @@
     size: usize,
 }
 
-impl Flow {
-    /// A direction in which `from` sends; `compressed` if that was agreed on; messages of up to `message_most`
+impl FrameFilter {
+    /// A direction in which `from` sends; `compressed` if that was agreed on; messages of up to `max_message_bytes`
     /// bytes as they are sent.
-    pub fn new(from: Side, compressed: bool, message_most: u64) -> Self {
-        Flow {
+    pub fn new(from: Side, compressed: bool, max_message_bytes: u64) -> Self {
+        FrameFilter {
             from,
             compressed,
-            message_most,
+            max_message_bytes,
             held: Vec::new(),
             left: 0,
             mask: None,
@@ -174,20 +174,20 @@
     }
 
     /// Lets nothing go on after the message under way. True if none is: the end is reached at once.
-    pub fn end(&mut self) -> bool {
+    pub fn end_after_message(&mut self) -> bool {
         self.ends = true;
         self.muted |= self.at_message_end();
         self.muted
     }
 
     /// Lets nothing go on from now on.
-    pub fn mute(&mut self) {
+    pub fn end_now(&mut self) {
         (self.ends, self.muted) = (true, true);
     }
 
     /// Takes bytes in any split and tells which go on.
-    pub fn feed(&mut self, input: &[u8]) -> Fed {
-        let mut fed = Fed::default();
+    pub fn feed(&mut self, input: &[u8]) -> FeedResult {
+        let mut fed = FeedResult::default();
         let mut at = 0;
         while at < input.len() && !self.over {
             let muted = self.muted;
@@ -201,24 +201,24 @@
                 Err(_) if muted => self.over = true,
                 Err(fault) => {
                     self.over = true;
-                    fed.fault = Some(fault);
+                    fed.error = Some(fault);
                 }
                 Ok((count, whole)) => {
                     at += count;
                     // A data frame's head goes on with its payload, which may be bad.
                     if whole && !muted && (self.left == 0 || at == input.len()) {
-                        fed.upto = at;
+                        fed.accepted = at;
                         self.open = (self.left > 0, self.message.is_some());
                     }
                 }
             }
             if self.ends && !self.muted && self.at_message_end() {
                 self.muted = true;
-                fed.reached = true;
+                fed.end_reached = true;
             }
         }
-        if fed.upto == 0 {
-            fed.first = Vec::new();
+        if fed.accepted == 0 {
+            fed.prefix = Vec::new();
         }
         if self.over {
             self.held = Vec::new();
@@ -227,15 +227,15 @@
     }
 
     /// Takes payload of the data frame under way; returns how much that is.
-    fn payload(&mut self, data: &[u8], fed: &mut Fed) -> Result<usize, Fault> {
+    fn payload(&mut self, data: &[u8], fed: &mut FeedResult) -> Result<usize, FrameError> {
         let count = (data.len() as u64).min(self.left) as usize;
         let data = &data[..count];
         let text = self.message.as_ref().is_some_and(|message| message.text);
         if text && !self.muted && !self.is_text(data) {
-            return Err(Fault::NotText);
+            return Err(FrameError::InvalidUtf8);
         }
         self.masked = (self.masked + count) & 3;
-        fed.data = true;
+        fed.message_data = true;
         self.left -= count as u64;
         if self.left == 0 {
             self.frame_over()?;
@@ -257,18 +257,18 @@
         })
     }
 
-    fn frame_over(&mut self) -> Result<(), Fault> {
+    fn frame_over(&mut self) -> Result<(), FrameError> {
         if self.last {
             let text = self.message.take().is_some_and(|message| message.text);
             if text && std::mem::take(&mut self.utf8).held > 0 {
-                return Err(Fault::NotText);
+                return Err(FrameError::InvalidUtf8);
             }
         }
         Ok(())
     }
 
     /// Takes the bytes of a data frame's head, or of a whole control frame; holds what is not whole yet.
-    fn frame(&mut self, data: &[u8], fed: &mut Fed) -> Result<usize, Fault> {
+    fn frame(&mut self, data: &[u8], fed: &mut FeedResult) -> Result<usize, FrameError> {
         let before = self.held.len();
         let room = HELD_MOST - before;
         let bytes = if before == 0 {
@@ -293,12 +293,12 @@
             return Ok(count - before);
         };
         if before > 0 && !self.muted {
-            fed.first = bytes[..before].to_vec();
+            fed.prefix = bytes[..before].to_vec();
         }
         match head.header.opcode {
             OpCode::Control(control) => {
                 if control == Control::Close {
-                    fed.close = Some(close_code(&bytes[head.size..size], head.header.mask)?);
+                    fed.close_frame = Some(close_code(&bytes[head.size..size], head.header.mask)?);
                     self.over = true;
                 }
             }
@@ -307,12 +307,12 @@
                     let text = kind == Data::Text && !head.header.rsv1;
                     self.message = Some(Message { text, size: 0 });
                 }
-                let message = self.message.as_mut().ok_or(Fault::Protocol("nothing to continue"))?;
+                let message = self.message.as_mut().ok_or(FrameError::Protocol("nothing to continue"))?;
                 message.size = message.size.saturating_add(head.payload);
-                if message.size > self.message_most {
-                    return Err(Fault::TooBig);
+                if message.size > self.max_message_bytes {
+                    return Err(FrameError::TooLarge);
                 }
-                fed.data = true;
+                fed.message_data = true;
                 (self.left, self.last) = (head.payload, head.header.is_final);
                 (self.mask, self.masked) = (head.header.mask, 0);
                 if self.left == 0 {
@@ -323,9 +323,9 @@
         Ok(size - before)
     }
 
-    fn check(&self, head: &Head) -> Result<(), Fault> {
+    fn check(&self, head: &Head) -> Result<(), FrameError> {
         let FrameHeader { is_final, rsv1, rsv2, rsv3, opcode, mask } = head.header;
-        let broken = |what| Err(Fault::Protocol(what));
+        let broken = |what| Err(FrameError::Protocol(what));
         if mask.is_some() != (self.from == Side::Client) {
             return broken(if mask.is_some() { "a server's frame is masked" } else { "not masked" });
         }
@@ -348,9 +348,9 @@
 }
 
 /// Reads a frame's head; `None` while a part is missing.
-fn head(bytes: &[u8]) -> Result<Option<Head>, Fault> {
+fn head(bytes: &[u8]) -> Result<Option<Head>, FrameError> {
     let mut cursor = Cursor::new(bytes);
-    let read = FrameHeader::parse(&mut cursor).map_err(|_| Fault::Protocol("an unknown opcode"))?;
+    let read = FrameHeader::parse(&mut cursor).map_err(|_| FrameError::Protocol("an unknown opcode"))?;
     let Some((header, payload)) = read else { return Ok(None) };
     let least = match bytes[1] & 0x7f {
         126 => 126,
@@ -358,24 +358,24 @@
         _ => 0,
     };
     if payload < least || payload > i64::MAX as u64 {
-        return Err(Fault::Protocol("a length not in its shortest form"));
+        return Err(FrameError::Protocol("a length not in its shortest form"));
     }
     Ok(Some(Head { header, payload, size: cursor.position() as usize }))
 }
 
 /// The code of a close frame's payload, checked.
-fn close_code(payload: &[u8], mask: Option<[u8; 4]>) -> Result<Option<u16>, Fault> {
+fn close_code(payload: &[u8], mask: Option<[u8; 4]>) -> Result<Option<u16>, FrameError> {
     let mask = mask.unwrap_or_default();
     let plain: Vec<u8> = payload.iter().enumerate().map(|(n, byte)| byte ^ mask[n & 3]).collect();
     match plain.as_slice() {
         [] => Ok(None),
-        [_] => Err(Fault::Protocol("half a close code")),
+        [_] => Err(FrameError::Protocol("half a close code")),
         [high, low, reason @ ..] => {
             let code = u16::from_be_bytes([*high, *low]);
             if !CloseCode::from(code).is_allowed() {
-                return Err(Fault::Protocol("a close code that is never sent"));
+                return Err(FrameError::Protocol("a close code that is never sent"));
             }
-            std::str::from_utf8(reason).map_err(|_| Fault::NotText)?;
+            std::str::from_utf8(reason).map_err(|_| FrameError::InvalidUtf8)?;
             Ok(Some(code))
         }
     }
@@ -393,12 +393,12 @@
 }
 
 /// A close frame; masked if a client sends it. The reason is cut at 123 bytes, at a character's end.
-pub fn close(code: u16, reason: &str, mask: Option<[u8; 4]>) -> Vec<u8> {
+pub fn close_frame(code: u16, reason: &str, mask: Option<[u8; 4]>) -> Vec<u8> {
     let cut = (0..=reason.len().min(123)).rev().find(|at| reason.is_char_boundary(*at)).unwrap_or(0);
     control(Control::Close, &[&code.to_be_bytes(), &reason.as_bytes()[..cut]].concat(), mask)
 }
 
 /// A ping; masked if a client sends it.
-pub fn ping(payload: &[u8], mask: Option<[u8; 4]>) -> Vec<u8> {
+pub fn ping_frame(payload: &[u8], mask: Option<[u8; 4]>) -> Vec<u8> {
     control(Control::Ping, payload, mask)
 }
--- a/crates/garnetdoor-websocket/src/handshake.rs
+++ b/crates/garnetdoor-websocket/src/handshake.rs
@@ -13,7 +13,7 @@
 
 /// What a client offers with its upgrade.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Offer {
+pub struct UpgradeOffer {
     key: String,
     protocols: Vec<String>,
     /// The offers of the extension, each with its parameters.
@@ -28,7 +28,7 @@
 
 /// Why a request to upgrade is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum UpgradeRefusal {
     /// 400: a part is absent, there twice, or can't be read; the part's name.
     Malformed(&'static str),
     /// 405: only GET upgrades.
@@ -37,21 +37,21 @@
     Version,
 }
 
-impl Refusal {
+impl UpgradeRefusal {
     /// The status of the answer.
     pub fn status(self) -> u16 {
         match self {
-            Refusal::Malformed(_) => 400,
-            Refusal::Method => 405,
-            Refusal::Version => 426,
+            UpgradeRefusal::Malformed(_) => 400,
+            UpgradeRefusal::Method => 405,
+            UpgradeRefusal::Version => 426,
         }
     }
 
     /// The header lines that the answer carries, each whole.
-    pub fn lines(self) -> &'static str {
+    pub fn headers(self) -> &'static str {
         match self {
-            Refusal::Version => "Upgrade: websocket\r\nSec-WebSocket-Version: 13\r\n",
-            Refusal::Malformed(_) | Refusal::Method => "",
+            UpgradeRefusal::Version => "Upgrade: websocket\r\nSec-WebSocket-Version: 13\r\n",
+            UpgradeRefusal::Malformed(_) | UpgradeRefusal::Method => "",
         }
     }
 }
@@ -66,7 +66,7 @@
 
 /// What is wrong with a server's 101.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lie {
+pub enum ResponseError {
     /// No `Upgrade: websocket` and `Connection: Upgrade`.
     NoUpgrade,
     /// The accept value does not follow from the key.
@@ -80,20 +80,20 @@
 }
 
 /// Header lines by names in lower case, in the order in which they came.
-pub type Lines<'a> = &'a [(String, String)];
+pub type HeaderLines<'a> = &'a [(String, String)];
 
-fn all<'a>(lines: Lines<'a>, name: &'a str) -> impl Iterator<Item = &'a str> {
+fn all<'a>(lines: HeaderLines<'a>, name: &'a str) -> impl Iterator<Item = &'a str> {
     lines.iter().filter(move |(field, _)| field == name).map(|(_, value)| value.as_str())
 }
 
 /// The only line of a name; `Err` where it stands more than once.
-fn single<'a>(lines: Lines<'a>, name: &'a str) -> Result<Option<&'a str>, ()> {
+fn single<'a>(lines: HeaderLines<'a>, name: &'a str) -> Result<Option<&'a str>, ()> {
     let mut found = all(lines, name);
     let first = found.next();
     if found.next().is_some() { Err(()) } else { Ok(first) }
 }
 
-fn says(lines: Lines, name: &str, word: &str) -> bool {
+fn says(lines: HeaderLines, name: &str, word: &str) -> bool {
     all(lines, name).flat_map(|line| line.split(',')).any(|part| part.trim().eq_ignore_ascii_case(word))
 }
 
@@ -102,12 +102,12 @@
 }
 
 /// The elements of a list of tokens over all its lines; `None` if one is no token.
-fn tokens(lines: Lines, name: &str) -> Option<Vec<String>> {
+fn tokens(lines: HeaderLines, name: &str) -> Option<Vec<String>> {
     let parts = all(lines, name).flat_map(|line| line.split(',')).map(str::trim);
     parts.map(|part| is_token(part).then(|| part.to_owned())).collect()
 }
 
-fn extensions(lines: Lines) -> Option<Vec<Extension>> {
+fn extensions(lines: HeaderLines) -> Option<Vec<Extension>> {
     let offers = all(lines, "sec-websocket-extensions").flat_map(|line| line.split(','));
     let read = |offer: &str| {
         let mut parts = offer.split(';').map(str::trim);
@@ -127,15 +127,15 @@
 }
 
 /// Whether a request asks for this upgrade at all. One that asks for another protocol is an ordinary one.
-pub fn asks(lines: Lines) -> bool {
+pub fn requests_websocket(lines: HeaderLines) -> bool {
     says(lines, "upgrade", "websocket")
 }
 
-/// Reads what a request that [`asks`] offers. `minor` is the HTTP/1 version, 1 for HTTP/1.1.
-pub fn offered(method: &str, minor: u8, lines: Lines) -> Result<Offer, Refusal> {
-    let malformed = Refusal::Malformed;
+/// Reads what a request that [`requests_websocket`] offers. `minor` is the HTTP/1 version, 1 for HTTP/1.1.
+pub fn parse_offer(method: &str, minor: u8, lines: HeaderLines) -> Result<UpgradeOffer, UpgradeRefusal> {
+    let malformed = UpgradeRefusal::Malformed;
     if method != "GET" {
-        return Err(Refusal::Method);
+        return Err(UpgradeRefusal::Method);
     }
     if minor != 1 {
         return Err(malformed("HTTP version"));
@@ -145,7 +145,7 @@
     }
     match single(lines, "sec-websocket-version") {
         Ok(Some("13")) => {}
-        Ok(Some(_)) => return Err(Refusal::Version),
+        Ok(Some(_)) => return Err(UpgradeRefusal::Version),
         Ok(None) | Err(()) => return Err(malformed("Sec-WebSocket-Version")),
     }
     let key = single(lines, "sec-websocket-key").ok().flatten();
@@ -157,12 +157,12 @@
     if protocols.len() > OFFERS_MOST || extensions.len() > OFFERS_MOST {
         return Err(malformed("number of offers"));
     }
-    Ok(Offer { key, protocols, extensions })
+    Ok(UpgradeOffer { key, protocols, extensions })
 }
 
-impl Offer {
+impl UpgradeOffer {
     /// The header lines by which a server is asked for the same, each whole.
-    pub fn lines(&self) -> String {
+    pub fn request_headers(&self) -> String {
         let mut lines = format!(
             "Upgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n\
              Sec-WebSocket-Key: {}\r\n",
@@ -180,28 +180,28 @@
 
     /// Checks the lines of a server's 101 against what was offered. Guards against a server, or something
     /// before it, that does not speak WebSocket or to another client: its bytes would pass as a session's.
-    pub fn agreed(&self, lines: Lines) -> Result<Agreement, Lie> {
+    pub fn check_response(&self, lines: HeaderLines) -> Result<Agreement, ResponseError> {
         if !says(lines, "upgrade", "websocket") || !says(lines, "connection", "upgrade") {
-            return Err(Lie::NoUpgrade);
+            return Err(ResponseError::NoUpgrade);
         }
         if all(lines, "content-length").any(|length| length != "0")
             || all(lines, "transfer-encoding").count() > 0
         {
-            return Err(Lie::Framing);
+            return Err(ResponseError::Framing);
         }
         let accept = derive_accept_key(self.key.as_bytes());
         if single(lines, "sec-websocket-accept") != Ok(Some(accept.as_str())) {
-            return Err(Lie::Accept);
+            return Err(ResponseError::Accept);
         }
-        let protocol = single(lines, "sec-websocket-protocol").map_err(|()| Lie::Protocol)?;
+        let protocol = single(lines, "sec-websocket-protocol").map_err(|()| ResponseError::Protocol)?;
         if protocol.is_some_and(|chosen| !self.protocols.iter().any(|offer| offer == chosen)) {
-            return Err(Lie::Protocol);
+            return Err(ResponseError::Protocol);
         }
-        let chosen = extensions(lines).ok_or(Lie::Extension)?;
+        let chosen = extensions(lines).ok_or(ResponseError::Extension)?;
         let extension = match chosen.as_slice() {
             [] => None,
             [one] if self.extensions.iter().any(|offer| one.answers(offer)) => Some(one.text()),
-            _ => return Err(Lie::Extension),
+            _ => return Err(ResponseError::Extension),
         };
         Ok(Agreement { accept, protocol: protocol.map(str::to_owned), extension })
     }
@@ -242,7 +242,7 @@
 
 impl Agreement {
     /// The whole head of the 101 for the client.
-    pub fn head(&self) -> Vec<u8> {
+    pub fn response_head(&self) -> Vec<u8> {
         let mut head = format!(
             "HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n\
              Sec-WebSocket-Accept: {}\r\n",
@@ -258,7 +258,7 @@
     }
 
     /// Whether messages may be compressed, so that their first frame may have its first reserved bit set.
-    pub fn compresses(&self) -> bool {
+    pub fn allows_compression(&self) -> bool {
         self.extension.is_some()
     }
 }
