--- a/crates/garnetdoor-sessions/src/limits.rs
+++ b/crates/garnetdoor-sessions/src/limits.rs
@@ -1,48 +1,50 @@
-//! What bounds sessions: each with its unit, default and range here and nowhere else.
+//! The limits on sessions and their defaults. Times are in microseconds.
 
 use garnetdoor::host::Micros;
 
 const SECOND: Micros = 1_000_000;
 
-/// The bounds that hold; a reload may change any of them.
+/// The limits in force; a reload may change any of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Sessions that stand or are being opened, in all. Two descriptors each.
+    /// Sessions that are open or being opened, in all. Each takes two file descriptors.
     pub max_sessions: usize,
-    /// The same on one server.
+    /// Sessions that are open or being opened on one server.
     pub max_per_server: usize,
-    /// The same of one party.
+    /// Sessions that are open or being opened of one party.
     pub max_per_party: usize,
-    /// Bytes of one message as it is sent.
+    /// Largest size of a message as it is sent, so compressed if it is.
     pub max_message_bytes: u64,
-    /// A side that has said nothing for so long is pinged.
+    /// A side from which nothing has been received for this long is pinged.
     pub ping_after: Micros,
-    /// A side that has said nothing for so long is gone. More than `ping`.
+    /// A side from which nothing has been received for this long counts as gone. More than `ping_after`.
     pub silence_timeout: Micros,
-    /// A side that takes nothing of what waits for it for so long is cut off.
+    /// A side that has read nothing of the data waiting for it for this long is disconnected.
     pub write_timeout: Micros,
-    /// A session without a message for so long is closed; `None`: never.
+    /// A session without a message for this long is closed; `None`: never.
     pub idle_timeout: Option<Micros>,
-    /// From a close frame, or the word to send one at the message's end, until the session is cut.
+    /// Time from the start of closing (a close frame, or the wait for the end of the message ahead of it) until the
+    /// session is aborted.
     pub close_timeout: Micros,
-    /// A session that its server breaks sooner than this counts as the server's failure.
+    /// A session whose server disconnects within this time after it opened counts as a failure of that server.
     pub settle_time: Micros,
-    /// Over this the sessions of a draining server are closed, evenly.
+    /// Sessions of a draining server are closed evenly over this period.
     pub drain_period: Micros,
-    /// A key that has been taken over may not be again for so long.
+    /// A session key that has been taken over can't be taken over again for this long.
     pub takeover_cooldown: Micros,
-    /// Least and most of the time after which the turned back may come again.
+    /// Least and greatest time after which a client whose upgrade was rejected may try again.
     pub retry_after_range: (Micros, Micros),
 }
 
-/// Of all descriptors, sessions get one in so many at most: plain tickets keep their room whatever is told.
-const OF_ALL: usize = 2;
-/// Descriptors of a session: its client's and its server's.
-const EACH: usize = 2;
+/// At most one in this many file descriptors is for sessions, so that ordinary requests keep theirs whatever is
+/// configured.
+const DESCRIPTORS_PER_SESSION_DESCRIPTOR: usize = 2;
+/// File descriptors of a session: one for its client and one for its server.
+const DESCRIPTORS_PER_SESSION: usize = 2;
 
 impl Limits {
-    /// How often the sessions' connections are looked at: often enough for the shortest of the times that rest on
-    /// it, and no oftener, since thousands stand idle.
+    /// How often the sessions' connections are checked for activity: often enough for the shortest of the times that
+    /// depend on it, and no more often, since thousands of sessions may be idle.
     pub fn activity_check_interval(&self) -> Micros {
         let shortest = self
             .ping_after
@@ -52,10 +54,12 @@
         (shortest / 8).clamp(SECOND / 10, 2 * SECOND)
     }
 
-    /// The same with no more sessions than their part of `descriptors` holds, and the descriptors set aside.
+    /// Lowers `max_sessions` to what the sessions' part of all file descriptors allows. Returns the limits and the
+    /// number of descriptors reserved for sessions.
     pub fn capped_by_descriptors(mut self, descriptors: usize) -> (Limits, usize) {
-        self.max_sessions = self.max_sessions.min(descriptors / OF_ALL / EACH);
-        let reserved = self.max_sessions * EACH;
+        let for_sessions = descriptors / DESCRIPTORS_PER_SESSION_DESCRIPTOR;
+        self.max_sessions = self.max_sessions.min(for_sessions / DESCRIPTORS_PER_SESSION);
+        let reserved = self.max_sessions * DESCRIPTORS_PER_SESSION;
         (self, reserved)
     }
 }
--- a/crates/garnetdoor-sessions/src/share.rs
+++ b/crates/garnetdoor-sessions/src/share.rs
@@ -1,47 +1,49 @@
-//! How many sessions may stand on a build on trial.
+//! How many open sessions a build on trial may have.
 //!
-//! Upgrades within the cap pile up: sessions last for minutes, releases for seconds, and sessions of the earlier
-//! build leave while those of the new one stay. So the told share holds for what stands, by two bounds with room
-//! between them: an upgrade may bring a build up to [`opens`]; what goes past [`stands`] without one (others have
-//! left, the cap has fallen) is closed down to the lower bound again. `docs/websocket.md` weighs the ways.
+//! Limiting upgrades alone is not enough: sessions last for minutes and releases for seconds, and sessions of the earlier
+//! build leave while those of the new build stay. So the build's share of the traffic also applies to its open sessions.
+//! Two bounds with a gap between them keep this stable: an upgrade may bring a build up to the lower one
+//! ([`may_open`]). Where other sessions end or the share falls, a build may go past the upper one without an upgrade; it
+//! is then closed down to the lower one ([`excess`]). `docs/websocket.md` compares the alternatives.
 
-/// Sessions that a build may have beyond its share by an upgrade, so that the first can stand at all.
-const FREE: f64 = 1.0;
-/// And those that it may have before any is closed. The rule that the operators check allows 2 and 4%.
-const OVER: f64 = 2.0;
+/// Sessions above its share that a build may reach by an upgrade, so that a first one can open at all.
+const OPEN_ALLOWANCE_SESSIONS: f64 = 1.0;
+/// Sessions above its share that a build may have before any is closed. The operators' check allows 2 sessions and 4%.
+const CLOSE_ALLOWANCE_SESSIONS: f64 = 2.0;
 
-/// How what stands is held to its share. A gateway holds it by the default; the others are the baselines that the
-/// emulator compares it with.
+/// How the open sessions of a build are kept within its share. Gateways use the default; the others are baselines that
+/// the emulator compares it with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ShareEnforcement {
-    /// Not at all.
+    /// The share is ignored.
     Unenforced,
-    /// Upgrades past it are not opened; nothing is closed.
+    /// Upgrades above the share are refused; no session is closed.
     AdmissionOnly,
-    /// What is past it is closed too, all in one moment.
+    /// Sessions above the share are also closed, all at once.
     CloseAtOnce,
-    /// Paced, the oldest first.
+    /// Sessions above the share are closed over a period, the oldest first.
     PacedOldestFirst,
-    /// Paced, the newest first.
+    /// Sessions above the share are closed over a period, the newest first.
     #[default]
     PacedNewestFirst,
 }
 
-/// Whether one more session may stand on a build with this share, of `on` there among `all`.
-pub fn may_open(share: f64, on: usize, all: usize) -> bool {
-    share >= 1.0 || (share > 0.0 && (on + 1) as f64 <= FREE + share * (all + 1) as f64)
+/// Whether one more session may open on a build with this share, when `on_build` of `total` sessions are open there.
+pub fn may_open(share: f64, on_build: usize, total: usize) -> bool {
+    share >= 1.0
+        || (share > 0.0 && (on_build + 1) as f64 <= OPEN_ALLOWANCE_SESSIONS + share * (total + 1) as f64)
 }
 
-/// How many sessions of a build are over its share and have to be closed, of `on` there among `all`. Those that
-/// close count as gone from both: whether they come back is not known.
-pub fn excess(share: f64, on: usize, all: usize) -> usize {
+/// How many sessions of a build have to be closed, when `on_build` of `total` sessions are open there. Closed sessions
+/// are taken off both numbers, since it is not known whether their clients come back.
+pub fn excess(share: f64, on_build: usize, total: usize) -> usize {
     if share <= 0.0 {
-        return on;
+        return on_build;
     }
-    let (on, all) = (on as f64, all as f64);
-    if share >= 1.0 || on <= OVER + share * all {
+    let (on_build, total) = (on_build as f64, total as f64);
+    if share >= 1.0 || on_build <= CLOSE_ALLOWANCE_SESSIONS + share * total {
         return 0;
     }
-    // on - k <= FREE + share (all - k)
-    ((on - FREE - share * all) / (1.0 - share)).ceil().max(0.0) as usize
+    // The least k with: on_build - k <= OPEN_ALLOWANCE_SESSIONS + share * (total - k)
+    ((on_build - OPEN_ALLOWANCE_SESSIONS - share * total) / (1.0 - share)).ceil().max(0.0) as usize
 }
