--- a/crates/garnetdoor-websocket/src/lib.rs
+++ b/crates/garnetdoor-websocket/src/lib.rs
@@ -1,8 +1,7 @@
-//! WebSocket (RFC 6455) as it passes through a gateway, without I/O: the opening handshake both ways, and
-//! frames that are checked while they pass and never gathered.
+//! WebSocket (RFC 6455) as relayed by a gateway, without I/O.
 //!
-//! [`handshake`] reads what a client offers, words it for a server, and checks the server's answer against it.
-//! [`frames`] looks at one direction of a session's bytes in any split. Neither keeps a clock or a socket.
+//! [`handshake`] parses a client's offer, makes it to a server and checks the server's response. [`frames`] validates the
+//! frames of one direction of a session while they are relayed; messages are never buffered as a whole.
 
 pub mod frames;
 pub mod handshake;
