--- a/crates/garnetdoor-match/src/check.rs
+++ b/crates/garnetdoor-match/src/check.rs
@@ -1,4 +1,4 @@
-//! Types: what each part of an expression is, found once, so that nothing is left to fail when a ticket comes.
+//! The type checker. It determines the type of each part of an expression once, so that its evaluation can't fail.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,29 +8,33 @@
 use regex::{Regex, RegexBuilder};
 
 use crate::cost;
-use crate::head::Bounds;
-use crate::syntax::{self, Comparison, Fault, Literal, Node, Part};
+use crate::head::HeadLimits;
+use crate::syntax::{self, Comparison, ExprError, Literal, Node, NodeKind};
 
-/// A compiled pattern takes so many bytes at most.
-const PATTERN_MOST: usize = 256 * 1024;
+/// The largest size of a compiled pattern.
+const MAX_PATTERN_BYTES: usize = 256 * 1024;
+/// The deepest nesting of groups in a pattern.
+const MAX_PATTERN_NESTING: u32 = 32;
+/// The largest index of a path segment or list item.
+const MAX_INDEX: i64 = 1_000;
 
-/// What a value is.
+/// The type of a value, regardless of whether it may be absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Type {
-    Truth,
+    Bool,
     Number,
-    /// Whole microseconds.
+    /// In microseconds.
     Duration,
     Text,
-    /// Texts, as the values of a header.
+    /// A list of texts, such as the values of a header.
     List,
     Address,
 }
 
 impl fmt::Display for Type {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        to.write_str(match self {
-            Type::Truth => "true or false",
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(match self {
+            Type::Bool => "true or false",
             Type::Number => "a number",
             Type::Duration => "a duration",
             Type::Text => "text",
@@ -42,18 +46,18 @@
 
 /// A type, and whether the value may be absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Kind {
-    pub of: Type,
-    pub maybe: bool,
+pub struct ValueType {
+    pub base: Type,
+    pub optional: bool,
 }
 
-impl fmt::Display for Kind {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "{}{}", self.of, if self.maybe { " that may be absent" } else { "" })
+impl fmt::Display for ValueType {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{}{}", self.base, if self.optional { " that may be absent" } else { "" })
     }
 }
 
-/// What is read from the head.
+/// A part of the head that an expression reads.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     Method,
@@ -61,65 +65,78 @@
     Client,
     BodyLength,
     Upgrade,
+    /// The path segment at an index from 0.
     Segment(usize),
+    /// The first query parameter of a name.
     Query(String),
+    /// The first cookie of a name.
     Cookie(String),
+    /// The first line of a header, by its lower-case name.
     Header(String),
+    /// All lines of a header, by its lower-case name.
     Headers(String),
 }
 
-/// A checked part.
+/// A type-checked expression.
 #[derive(Clone, Debug)]
-pub enum Code {
-    Truth(bool),
+pub enum Expr {
+    Bool(bool),
     Number(i64),
     Text(String),
     Input(Input),
-    Or(Vec<Code>),
-    And(Vec<Code>),
-    Not(Box<Code>),
+    Or(Vec<Expr>),
+    And(Vec<Expr>),
+    Not(Box<Expr>),
     /// Numbers, durations, texts, truths or addresses of one type.
-    Compare(Comparison, Box<Code>, Box<Code>),
-    /// With the length of the longest.
-    InTexts(Box<Code>, BTreeSet<String>, usize),
-    InNumbers(Box<Code>, BTreeSet<i64>),
-    InNets(Box<Code>, Vec<IpNet>),
-    InList(Box<Code>, Box<Code>),
-    Default(Vec<Code>),
-    Sum(Vec<(bool, Code)>),
-    Join(Vec<Code>),
-    StartsWith(Box<Code>, Box<Code>),
-    EndsWith(Box<Code>, Box<Code>),
-    Contains(Box<Code>, Box<Code>),
-    Matches(Box<Code>, Regex, usize),
-    Lower(Box<Code>),
-    Hash(Box<Code>),
-    Length(Box<Code>),
-    Count(Box<Code>),
-    Split(Box<Code>, String),
-    Item(Box<Code>, usize),
-    ToNumber(Box<Code>),
-    Present(Box<Code>),
+    Compare(Comparison, Box<Expr>, Box<Expr>),
+    /// A text, the set, and the length of the longest text in it.
+    InTexts(Box<Expr>, BTreeSet<String>, usize),
+    InNumbers(Box<Expr>, BTreeSet<i64>),
+    InNetworks(Box<Expr>, Vec<IpNet>),
+    InList(Box<Expr>, Box<Expr>),
+    /// The first of these that is present.
+    Coalesce(Vec<Expr>),
+    /// Terms, each with whether it is subtracted.
+    Sum(Vec<(bool, Expr)>),
+    /// A concatenation of texts.
+    Join(Vec<Expr>),
+    StartsWith(Box<Expr>, Box<Expr>),
+    EndsWith(Box<Expr>, Box<Expr>),
+    Contains(Box<Expr>, Box<Expr>),
+    /// A text, the pattern, and the pattern's weight in the cost.
+    Matches(Box<Expr>, Regex, usize),
+    Lower(Box<Expr>),
+    Hash(Box<Expr>),
+    Length(Box<Expr>),
+    Count(Box<Expr>),
+    /// A text and the separator.
+    Split(Box<Expr>, String),
+    /// A list and an index from 0.
+    Item(Box<Expr>, usize),
+    /// The number that a text contains; absent if it contains none.
+    ToNumber(Box<Expr>),
+    Present(Box<Expr>),
 }
 
-/// An expression that can't fail.
+/// A compiled expression, whose evaluation can't fail.
 #[derive(Clone, Debug)]
 pub struct Program {
-    pub(crate) code: Code,
-    pub kind: Kind,
-    /// Units that it costs at the worst, for heads within its bounds.
-    pub worst: u64,
+    pub(crate) expr: Expr,
+    pub value_type: ValueType,
+    /// The most units that an evaluation costs, for heads within the limits given to [`Program::compile`].
+    pub max_cost: u64,
 }
 
-/// Names without arguments.
+/// Inputs that are written as names, with their types.
 const NAMES: [(&str, Input, Type); 5] = [
     ("method", Input::Method, Type::Text),
     ("path", Input::Path, Type::Text),
     ("client", Input::Client, Type::Address),
     ("body_length", Input::BodyLength, Type::Number),
-    ("upgrade", Input::Upgrade, Type::Truth),
+    ("upgrade", Input::Upgrade, Type::Bool),
 ];
 
+/// Functions, for suggestions in errors.
 const FUNCTIONS: [&str; 17] = [
     "segment",
     "query",
@@ -141,98 +158,110 @@
 ];
 
 impl Program {
-    /// Reads an expression that is to be of a type; reports all faults that can be told apart. `budget` is what it may
-    /// cost at the worst.
-    pub fn read(text: &str, wanted: Type, bounds: &Bounds, budget: u64) -> Result<Program, Vec<Fault>> {
-        let tree = syntax::parse(text).map_err(|fault| vec![fault])?;
-        let mut checker = Checker { faults: Vec::new() };
-        let found = checker.check(&tree);
-        if let Some((_, kind)) = &found
-            && *kind != (Kind { of: wanted, maybe: false })
+    /// Compiles an expression that has to be of type `wanted`; reports all errors that can be told apart. `budget` is the
+    /// most units that its evaluation may cost for heads within the limits.
+    pub fn compile(
+        text: &str, wanted: Type, limits: &HeadLimits, budget: u64,
+    ) -> Result<Program, Vec<ExprError>> {
+        let tree = syntax::parse(text).map_err(|error| vec![error])?;
+        let mut checker = Checker { errors: Vec::new() };
+        let checked = checker.check(&tree);
+        if let Some((_, value_type)) = &checked
+            && *value_type != (ValueType { base: wanted, optional: false })
         {
-            checker.wrong(&tree, kind.to_string(), wanted.to_string());
+            checker.report(&tree, value_type.to_string(), wanted.to_string());
         }
-        let Some((code, kind)) = found.filter(|_| checker.faults.is_empty()) else {
-            return Err(checker.faults);
+        let Some((expr, value_type)) = checked.filter(|_| checker.errors.is_empty()) else {
+            return Err(checker.errors);
         };
-        let worst = cost::worst(&code, bounds).units;
-        if worst > budget {
-            let dearest = cost::dearest(&tree, bounds);
-            let found = format!("{worst} units at the worst, {} of them here", dearest.1);
-            return Err(vec![Fault {
-                at: dearest.0,
-                found,
-                expected: format!("{budget} units at most in all"),
-            }]);
+        let max_cost = cost::max_cost(&expr, limits).units;
+        if max_cost > budget {
+            let (span, part_cost) = cost::most_expensive_part(&tree, limits);
+            let found = format!("{max_cost} units in the worst case, {part_cost} of them here");
+            return Err(vec![ExprError { span, found, expected: format!("{budget} units at most in all") }]);
         }
-        Ok(Program { code, kind, worst })
+        Ok(Program { expr, value_type, max_cost })
     }
 }
 
-/// The name that is most like an unknown one, if any is near.
-fn near<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+/// The largest edit distance (Damerau-Levenshtein) at which a known name is suggested for an unknown one.
+const MAX_SUGGESTION_DISTANCE: usize = 2;
+
+/// The known name that is most similar to an unknown one, if any is similar enough.
+fn most_similar<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let best = known.map(|other| (strsim::damerau_levenshtein(name, other), other)).min();
-    best.filter(|(distance, _)| *distance <= 2).map(|(_, other)| other)
+    best.filter(|(distance, _)| *distance <= MAX_SUGGESTION_DISTANCE).map(|(_, other)| other)
 }
 
 struct Checker {
-    faults: Vec<Fault>,
+    errors: Vec<ExprError>,
 }
 
-type Checked = Option<(Code, Kind)>;
+/// A checked expression with its type; `None` if an error has been reported.
+type Checked = Option<(Expr, ValueType)>;
+
+/// An expression whose value is never absent.
+fn always_present(expr: Expr, of: Type) -> Checked {
+    Some((expr, ValueType { base: of, optional: false }))
+}
 
-fn sure(code: Code, of: Type) -> Checked {
-    Some((code, Kind { of, maybe: false }))
+/// What is expected instead of a value of this type that may be absent.
+fn needs_default(of: Type) -> String {
+    format!("{of} that is always present: give a default by ??")
 }
 
-/// Checks a part by itself, for what its cost is.
-pub(crate) fn alone(node: &Node) -> Option<Code> {
-    Checker { faults: Vec::new() }.check(node).map(|(code, _)| code)
+/// Checks a part of an expression by itself, to determine its cost.
+pub(crate) fn check_alone(node: &Node) -> Option<Expr> {
+    Checker { errors: Vec::new() }.check(node).map(|(expr, _)| expr)
 }
 
 impl Checker {
-    fn wrong(&mut self, node: &Node, found: String, expected: String) {
-        self.faults.push(Fault { at: node.at.clone(), found, expected });
+    fn report(&mut self, node: &Node, found: String, expected: String) {
+        self.errors.push(ExprError { span: node.span.clone(), found, expected });
     }
 
-    /// A part that must be of a type and there for sure.
-    fn must(&mut self, node: &Node, of: Type) -> Option<Code> {
-        let (code, kind) = self.check(node)?;
-        if kind == (Kind { of, maybe: false }) {
-            return Some(code);
+    /// Checks a part that must be of a type and never absent.
+    fn require(&mut self, node: &Node, of: Type) -> Option<Expr> {
+        let (expr, value_type) = self.check(node)?;
+        if value_type == (ValueType { base: of, optional: false }) {
+            return Some(expr);
         }
-        let hint = if kind.of == of {
-            format!("{of} for sure: say what holds in its absence, by ??")
-        } else {
-            of.to_string()
-        };
-        self.wrong(node, kind.to_string(), hint);
+        let expected = if value_type.base == of { needs_default(of) } else { of.to_string() };
+        self.report(node, value_type.to_string(), expected);
         None
     }
 
-    fn all(&mut self, nodes: &[Node], of: Type) -> Option<Vec<Code>> {
-        // Each is checked, also behind one that is wrong.
-        let codes: Vec<_> = nodes.iter().map(|node| self.must(node, of)).collect();
-        codes.into_iter().collect()
+    /// Checks parts that must all be of a type and never absent.
+    fn require_all(&mut self, nodes: &[Node], of: Type) -> Option<Vec<Expr>> {
+        // All are checked before the result is taken, so that the errors of all are reported.
+        let exprs: Vec<_> = nodes.iter().map(|node| self.require(node, of)).collect();
+        exprs.into_iter().collect()
     }
 
+    /// Checks a node and its parts.
     fn check(&mut self, node: &Node) -> Checked {
-        match &node.part {
-            Part::Literal(Literal::Truth(truth)) => sure(Code::Truth(*truth), Type::Truth),
-            Part::Literal(Literal::Number(number)) => sure(Code::Number(*number), Type::Number),
-            Part::Literal(Literal::Duration(micros)) => sure(Code::Number(*micros), Type::Duration),
-            Part::Literal(Literal::Text(text)) => sure(Code::Text(text.clone()), Type::Text),
-            Part::Or(parts) => sure(Code::Or(self.all(parts, Type::Truth)?), Type::Truth),
-            Part::And(parts) => sure(Code::And(self.all(parts, Type::Truth)?), Type::Truth),
-            Part::Not(part) => sure(Code::Not(Box::new(self.must(part, Type::Truth)?)), Type::Truth),
-            Part::Compare(Comparison::In, left, right) => self.check_in(left, right),
-            Part::Compare(how, left, right) => self.check_compare(*how, left, right),
-            Part::Default(parts) => self.check_default(parts),
-            Part::Sum(terms) => self.check_sum(terms),
-            Part::Name(name) => self.check_name(node, name),
-            Part::Call(name, arguments) => self.check_call(node, name, arguments),
-            Part::List(_) => {
-                self.wrong(node, "a list".to_owned(), "it on the right of in alone".to_owned());
+        match &node.kind {
+            NodeKind::Literal(Literal::Bool(value)) => always_present(Expr::Bool(*value), Type::Bool),
+            NodeKind::Literal(Literal::Number(number)) => always_present(Expr::Number(*number), Type::Number),
+            NodeKind::Literal(Literal::Duration(micros)) => {
+                always_present(Expr::Number(*micros), Type::Duration)
+            }
+            NodeKind::Literal(Literal::Text(text)) => always_present(Expr::Text(text.clone()), Type::Text),
+            NodeKind::Or(parts) => always_present(Expr::Or(self.require_all(parts, Type::Bool)?), Type::Bool),
+            NodeKind::And(parts) => {
+                always_present(Expr::And(self.require_all(parts, Type::Bool)?), Type::Bool)
+            }
+            NodeKind::Not(part) => {
+                always_present(Expr::Not(Box::new(self.require(part, Type::Bool)?)), Type::Bool)
+            }
+            NodeKind::Compare(Comparison::In, left, right) => self.check_in(left, right),
+            NodeKind::Compare(comparison, left, right) => self.check_compare(*comparison, left, right),
+            NodeKind::Coalesce(parts) => self.check_coalesce(parts),
+            NodeKind::Sum(terms) => self.check_sum(terms),
+            NodeKind::Name(name) => self.check_name(node, name),
+            NodeKind::Call(name, arguments) => self.check_call(node, name, arguments),
+            NodeKind::List(_) => {
+                self.report(node, "a list".to_owned(), "it only to the right of in".to_owned());
                 None
             }
         }
@@ -240,267 +269,280 @@
 
     fn check_name(&mut self, node: &Node, name: &str) -> Checked {
         if let Some((_, input, of)) = NAMES.iter().find(|(known, ..)| *known == name) {
-            return sure(Code::Input(input.clone()), *of);
+            return always_present(Expr::Input(input.clone()), *of);
         }
         let known = NAMES.iter().map(|(known, ..)| *known);
-        let expected = match near(name, known.chain(FUNCTIONS)) {
-            Some(near) => format!("a known name, perhaps {near}"),
+        let expected = match most_similar(name, known.chain(FUNCTIONS)) {
+            Some(similar) => format!("a known name, perhaps {similar}"),
             None => format!("one of {}", NAMES.map(|(known, ..)| known).join(", ")),
         };
-        self.wrong(node, format!("the unknown name {name}"), expected);
+        self.report(node, format!("the unknown name {name}"), expected);
         None
     }
 
-    fn check_compare(&mut self, how: Comparison, left: &Node, right: &Node) -> Checked {
-        let (a, b) = (self.check(left), self.check(right));
-        let ((a, of), (b, other)) = (a?, b?);
-        let ordered = matches!(of.of, Type::Number | Type::Duration);
-        let equal = matches!(how, Comparison::Equal | Comparison::NotEqual);
-        if of.maybe || other.maybe {
-            let node = if of.maybe { left } else { right };
-            let kind = if of.maybe { of } else { other };
-            self.wrong(
-                node,
-                kind.to_string(),
-                format!("{} for sure: say what holds in its absence, by ??", kind.of),
-            );
+    fn check_compare(&mut self, comparison: Comparison, left: &Node, right: &Node) -> Checked {
+        let (left_checked, right_checked) = (self.check(left), self.check(right));
+        let ((left_expr, left_type), (right_expr, right_type)) = (left_checked?, right_checked?);
+        let has_order = matches!(left_type.base, Type::Number | Type::Duration);
+        let is_equality = matches!(comparison, Comparison::Equal | Comparison::NotEqual);
+        if left_type.optional {
+            self.report(left, left_type.to_string(), needs_default(left_type.base));
+            None
+        } else if right_type.optional {
+            self.report(right, right_type.to_string(), needs_default(right_type.base));
             None
-        } else if of != other {
-            self.wrong(right, other.to_string(), of.to_string());
+        } else if left_type != right_type {
+            self.report(right, right_type.to_string(), left_type.to_string());
             None
-        } else if of.of == Type::List || !(ordered || equal) {
-            self.wrong(left, of.to_string(), "numbers or durations".to_owned());
+        } else if left_type.base == Type::List || !(has_order || is_equality) {
+            self.report(left, left_type.to_string(), "numbers or durations".to_owned());
             None
         } else {
-            sure(Code::Compare(how, Box::new(a), Box::new(b)), Type::Truth)
+            let (left, right) = (Box::new(left_expr), Box::new(right_expr));
+            always_present(Expr::Compare(comparison, left, right), Type::Bool)
         }
     }
 
     fn check_in(&mut self, left: &Node, right: &Node) -> Checked {
-        let (code, kind) = self.check(left)?;
-        if kind.maybe {
-            self.wrong(
-                left,
-                kind.to_string(),
-                format!("{} for sure: say what holds in its absence, by ??", kind.of),
-            );
+        let (expr, value_type) = self.check(left)?;
+        if value_type.optional {
+            self.report(left, value_type.to_string(), needs_default(value_type.base));
             return None;
         }
-        let code = Box::new(code);
-        let Part::List(items) = &right.part else {
-            let list = self.must(right, Type::List)?;
-            if kind.of != Type::Text {
-                self.wrong(left, kind.to_string(), Type::Text.to_string());
+        let expr = Box::new(expr);
+        let NodeKind::List(items) = &right.kind else {
+            let list = self.require(right, Type::List)?;
+            if value_type.base != Type::Text {
+                self.report(left, value_type.to_string(), Type::Text.to_string());
                 return None;
             }
-            return sure(Code::InList(code, Box::new(list)), Type::Truth);
+            return always_present(Expr::InList(expr, Box::new(list)), Type::Bool);
         };
-        match kind.of {
+        match value_type.base {
             Type::Text => {
-                let texts = self.literals(items, "text", |l| {
-                    if let Literal::Text(t) = l { Some(t.clone()) } else { None }
-                });
-                let texts = texts?;
+                let as_text = |literal: &Literal| {
+                    if let Literal::Text(text) = literal { Some(text.clone()) } else { None }
+                };
+                let texts = self.literals(items, "text", as_text)?;
                 let longest = texts.iter().map(String::len).max().unwrap_or(0);
-                sure(Code::InTexts(code, texts.into_iter().collect(), longest), Type::Truth)
+                always_present(Expr::InTexts(expr, texts.into_iter().collect(), longest), Type::Bool)
             }
             Type::Number => {
-                let numbers = self.literals(items, "a number", |l| {
-                    if let Literal::Number(n) = l { Some(*n) } else { None }
-                });
-                sure(Code::InNumbers(code, numbers?.into_iter().collect()), Type::Truth)
+                let as_number = |literal: &Literal| {
+                    if let Literal::Number(number) = literal { Some(*number) } else { None }
+                };
+                let numbers = self.literals(items, "a number", as_number)?;
+                always_present(Expr::InNumbers(expr, numbers.into_iter().collect()), Type::Bool)
             }
             Type::Address => {
-                let net = |l: &Literal| match l {
+                let as_network = |literal: &Literal| match literal {
                     Literal::Text(text) => {
                         text.parse().ok().or_else(|| text.parse::<IpAddr>().ok().map(IpNet::from))
                     }
                     _ => None,
                 };
-                let nets = self.literals(items, "a network such as \"10.0.0.0/8\"", net);
-                sure(Code::InNets(code, nets?), Type::Truth)
+                let networks = self.literals(items, "a network such as \"10.0.0.0/8\"", as_network)?;
+                always_present(Expr::InNetworks(expr, networks), Type::Bool)
             }
             _ => {
-                self.wrong(left, kind.to_string(), "text, a number or an address".to_owned());
+                self.report(left, value_type.to_string(), "text, a number or an address".to_owned());
                 None
             }
         }
     }
 
+    /// Reads the items of a list by `read`; each that is no literal, or for which it gives `None`, is an error.
     fn literals<T>(
         &mut self, items: &[Node], expected: &str, read: impl Fn(&Literal) -> Option<T>,
     ) -> Option<Vec<T>> {
         let mut values = Vec::new();
         for item in items {
-            match &item.part {
-                Part::Literal(literal) => match read(literal) {
+            match &item.kind {
+                NodeKind::Literal(literal) => match read(literal) {
                     Some(value) => values.push(value),
-                    None => self.wrong(item, item.to_string(), expected.to_owned()),
+                    None => self.report(item, item.to_string(), expected.to_owned()),
                 },
-                _ => self.wrong(item, item.to_string(), expected.to_owned()),
+                _ => self.report(item, item.to_string(), expected.to_owned()),
             }
         }
         (values.len() == items.len()).then_some(values)
     }
 
-    /// All but the last may be absent, and one that may not makes those behind it unreachable.
-    fn check_default(&mut self, parts: &[Node]) -> Checked {
+    /// Checks the operands of `??`. All but the last must be optional: one that is always present makes those after it
+    /// unreachable.
+    fn check_coalesce(&mut self, parts: &[Node]) -> Checked {
         let checked: Vec<_> = parts.iter().map(|part| self.check(part)).collect();
         let checked: Vec<_> = checked.into_iter().collect::<Option<_>>()?;
-        let of = checked[0].1.of;
-        for (part, (_, kind)) in parts.iter().zip(&checked) {
-            if kind.of != of {
-                self.wrong(part, kind.to_string(), of.to_string());
+        let base = checked[0].1.base;
+        for (part, (_, value_type)) in parts.iter().zip(&checked) {
+            if value_type.base != base {
+                self.report(part, value_type.to_string(), base.to_string());
                 return None;
             }
         }
-        if let Some(at) = checked[..checked.len() - 1].iter().position(|(_, kind)| !kind.maybe) {
-            self.wrong(
-                &parts[at],
-                checked[at].1.to_string(),
-                "a value that may be absent ahead of ??".to_owned(),
-            );
+        let before_last = &checked[..checked.len() - 1];
+        if let Some(index) = before_last.iter().position(|(_, value_type)| !value_type.optional) {
+            let expected = "a value that may be absent ahead of ??".to_owned();
+            self.report(&parts[index], checked[index].1.to_string(), expected);
             return None;
         }
-        let maybe = checked.last().is_some_and(|(_, kind)| kind.maybe);
-        Some((Code::Default(checked.into_iter().map(|(code, _)| code).collect()), Kind { of, maybe }))
+        let optional = checked.last().is_some_and(|(_, value_type)| value_type.optional);
+        let exprs = checked.into_iter().map(|(expr, _)| expr).collect();
+        Some((Expr::Coalesce(exprs), ValueType { base, optional }))
     }
 
+    /// Checks a sum, by the type of its first term: of numbers, of durations, or a concatenation of texts.
     fn check_sum(&mut self, terms: &[(bool, Node)]) -> Checked {
-        let (_, of) = self.check(&terms[0].1)?;
-        let codes: Vec<_> =
-            terms.iter().map(|(minus, term)| Some((*minus, self.must(term, of.of)?))).collect();
-        let codes: Vec<_> = codes.into_iter().collect::<Option<_>>()?;
-        match of.of {
-            Type::Number | Type::Duration => sure(Code::Sum(codes), of.of),
-            Type::Text if codes.iter().all(|(minus, _)| !minus) => {
-                sure(Code::Join(codes.into_iter().map(|(_, code)| code).collect()), Type::Text)
+        let (_, first_type) = self.check(&terms[0].1)?;
+        let base = first_type.base;
+        let exprs: Vec<_> = terms
+            .iter()
+            .map(|(is_subtracted, term)| Some((*is_subtracted, self.require(term, base)?)))
+            .collect();
+        let exprs: Vec<_> = exprs.into_iter().collect::<Option<_>>()?;
+        match base {
+            Type::Number | Type::Duration => always_present(Expr::Sum(exprs), base),
+            Type::Text if exprs.iter().all(|(is_subtracted, _)| !is_subtracted) => {
+                let texts = exprs.into_iter().map(|(_, expr)| expr).collect();
+                always_present(Expr::Join(texts), Type::Text)
             }
             _ => {
-                self.wrong(
-                    &terms[0].1,
-                    of.to_string(),
-                    "numbers or durations, or texts with + alone".to_owned(),
-                );
+                let expected = "numbers or durations, or texts with + only".to_owned();
+                self.report(&terms[0].1, first_type.to_string(), expected);
                 None
             }
         }
     }
 
     fn check_call(&mut self, node: &Node, name: &str, arguments: &[Node]) -> Checked {
-        let count = match name {
+        let argument_count = match name {
             "segment" | "query" | "cookie" | "header" | "headers" | "lower" | "hash" | "length" | "count"
             | "number" | "present" => 1,
             "starts_with" | "ends_with" | "contains" | "matches" | "split" | "item" => 2,
             _ => {
-                let expected = match near(name, FUNCTIONS.into_iter()) {
-                    Some(near) => format!("a known function, perhaps {near}"),
+                let expected = match most_similar(name, FUNCTIONS.into_iter()) {
+                    Some(similar) => format!("a known function, perhaps {similar}"),
                     None => format!("one of {}", FUNCTIONS.join(", ")),
                 };
-                self.wrong(node, format!("the unknown function {name}"), expected);
+                self.report(node, format!("the unknown function {name}"), expected);
                 return None;
             }
         };
-        if arguments.len() != count {
-            self.wrong(node, format!("{} arguments", arguments.len()), format!("{count} for {name}"));
+        if arguments.len() != argument_count {
+            self.report(
+                node,
+                format!("{} arguments", arguments.len()),
+                format!("{argument_count} for {name}"),
+            );
             return None;
         }
-        let maybe = |code, of| Some((code, Kind { of, maybe: true }));
+        let optional = |expr, base| Some((expr, ValueType { base, optional: true }));
         let first = &arguments[0];
-        let boxed = |code| Box::new(code);
         match name {
-            "segment" => maybe(Code::Input(Input::Segment(self.index(first)?)), Type::Text),
-            "query" => maybe(Code::Input(Input::Query(self.literal_text(first)?)), Type::Text),
-            "cookie" => maybe(Code::Input(Input::Cookie(self.literal_text(first)?)), Type::Text),
-            "header" => {
-                maybe(Code::Input(Input::Header(self.literal_text(first)?.to_ascii_lowercase())), Type::Text)
-            }
-            "headers" => {
-                sure(Code::Input(Input::Headers(self.literal_text(first)?.to_ascii_lowercase())), Type::List)
+            "segment" => optional(Expr::Input(Input::Segment(self.literal_index(first)?)), Type::Text),
+            "query" => optional(Expr::Input(Input::Query(self.literal_text(first)?)), Type::Text),
+            "cookie" => optional(Expr::Input(Input::Cookie(self.literal_text(first)?)), Type::Text),
+            "header" => optional(
+                Expr::Input(Input::Header(self.literal_text(first)?.to_ascii_lowercase())),
+                Type::Text,
+            ),
+            "headers" => always_present(
+                Expr::Input(Input::Headers(self.literal_text(first)?.to_ascii_lowercase())),
+                Type::List,
+            ),
+            "lower" => always_present(Expr::Lower(Box::new(self.require(first, Type::Text)?)), Type::Text),
+            "hash" => always_present(Expr::Hash(Box::new(self.require(first, Type::Text)?)), Type::Number),
+            "length" => {
+                always_present(Expr::Length(Box::new(self.require(first, Type::Text)?)), Type::Number)
             }
-            "lower" => sure(Code::Lower(boxed(self.must(first, Type::Text)?)), Type::Text),
-            "hash" => sure(Code::Hash(boxed(self.must(first, Type::Text)?)), Type::Number),
-            "length" => sure(Code::Length(boxed(self.must(first, Type::Text)?)), Type::Number),
-            "count" => sure(Code::Count(boxed(self.must(first, Type::List)?)), Type::Number),
-            "number" => maybe(Code::ToNumber(boxed(self.must(first, Type::Text)?)), Type::Number),
+            "count" => always_present(Expr::Count(Box::new(self.require(first, Type::List)?)), Type::Number),
+            "number" => optional(Expr::ToNumber(Box::new(self.require(first, Type::Text)?)), Type::Number),
             "present" => {
-                let (code, kind) = self.check(first)?;
-                if !kind.maybe {
-                    self.wrong(first, kind.to_string(), "a value that may be absent".to_owned());
+                let (expr, value_type) = self.check(first)?;
+                if !value_type.optional {
+                    self.report(first, value_type.to_string(), "a value that may be absent".to_owned());
                     return None;
                 }
-                sure(Code::Present(boxed(code)), Type::Truth)
+                always_present(Expr::Present(Box::new(expr)), Type::Bool)
             }
             "matches" => {
-                let (text, pattern) = (self.must(first, Type::Text), self.pattern(&arguments[1]));
-                let ((pattern, size), text) = (pattern?, text?);
-                sure(Code::Matches(boxed(text), pattern, size), Type::Truth)
+                let (text, pattern) = (self.require(first, Type::Text), self.pattern(&arguments[1]));
+                let ((pattern, weight), text) = (pattern?, text?);
+                always_present(Expr::Matches(Box::new(text), pattern, weight), Type::Bool)
             }
             "split" => {
-                let (text, by) = (self.must(first, Type::Text), self.literal_text(&arguments[1]));
-                let (text, by) = (text?, by?);
-                if by.is_empty() {
-                    self.wrong(
-                        &arguments[1],
-                        "no text".to_owned(),
-                        "what stands between the parts".to_owned(),
-                    );
+                let (text, separator) = (self.require(first, Type::Text), self.literal_text(&arguments[1]));
+                let (text, separator) = (text?, separator?);
+                if separator.is_empty() {
+                    self.report(&arguments[1], "no text".to_owned(), "the text between the parts".to_owned());
                     return None;
                 }
-                sure(Code::Split(boxed(text), by), Type::List)
+                always_present(Expr::Split(Box::new(text), separator), Type::List)
             }
             "item" => {
-                let (list, at) = (self.must(first, Type::List), self.index(&arguments[1]));
-                maybe(Code::Item(boxed(list?), at?), Type::Text)
+                let (list, index) = (self.require(first, Type::List), self.literal_index(&arguments[1]));
+                optional(Expr::Item(Box::new(list?), index?), Type::Text)
             }
             _ => {
-                let (text, part) = (self.must(first, Type::Text), self.must(&arguments[1], Type::Text));
-                let (text, part) = (boxed(text?), boxed(part?));
-                let code = match name {
-                    "starts_with" => Code::StartsWith(text, part),
-                    "ends_with" => Code::EndsWith(text, part),
-                    _ => Code::Contains(text, part),
+                let (text, part) = (self.require(first, Type::Text), self.require(&arguments[1], Type::Text));
+                let (text, part) = (Box::new(text?), Box::new(part?));
+                let expr = match name {
+                    "starts_with" => Expr::StartsWith(text, part),
+                    "ends_with" => Expr::EndsWith(text, part),
+                    _ => Expr::Contains(text, part),
                 };
-                sure(code, Type::Truth)
+                always_present(expr, Type::Bool)
             }
         }
     }
 
-    fn index(&mut self, node: &Node) -> Option<usize> {
-        match &node.part {
-            Part::Literal(Literal::Number(number @ 0..=1_000)) => Some(*number as usize),
+    /// Reads an index, which must be a literal.
+    fn literal_index(&mut self, node: &Node) -> Option<usize> {
+        match &node.kind {
+            NodeKind::Literal(Literal::Number(number @ 0..=MAX_INDEX)) => Some(*number as usize),
             _ => {
-                self.wrong(node, node.to_string(), "a number from 0 to 1000, written out".to_owned());
+                self.report(node, node.to_string(), format!("a number from 0 to {MAX_INDEX}, written out"));
                 None
             }
         }
     }
 
+    /// Reads a text, which must be a literal.
     fn literal_text(&mut self, node: &Node) -> Option<String> {
-        match &node.part {
-            Part::Literal(Literal::Text(text)) => Some(text.clone()),
+        match &node.kind {
+            NodeKind::Literal(Literal::Text(text)) => Some(text.clone()),
             _ => {
-                self.wrong(node, node.to_string(), "text in quotes, written out".to_owned());
+                self.report(node, node.to_string(), "text in quotes, written out".to_owned());
                 None
             }
         }
     }
 
-    /// A pattern and its weight in cost: time grows with the pattern's size times the text's.
+    /// Compiles a pattern. Returns it with its weight in the cost: matching takes time in proportion to the sizes of the
+    /// pattern and of the text.
     fn pattern(&mut self, node: &Node) -> Option<(Regex, usize)> {
         let text = self.literal_text(node)?;
         let mut builder = RegexBuilder::new(&text);
-        match builder.size_limit(PATTERN_MOST).dfa_size_limit(2 * PATTERN_MOST).nest_limit(32).build() {
+        match builder
+            .size_limit(MAX_PATTERN_BYTES)
+            .dfa_size_limit(2 * MAX_PATTERN_BYTES)
+            .nest_limit(MAX_PATTERN_NESTING)
+            .build()
+        {
             Ok(pattern) => Some((pattern, 1 + text.len() / 8)),
             Err(error) => {
-                let line = error
+                let reason = error
                     .to_string()
                     .lines()
                     .last()
                     .unwrap_or_default()
                     .trim_start_matches("error: ")
                     .to_owned();
-                self.wrong(node, line, format!("a pattern of {PATTERN_MOST} bytes at most once compiled"));
+                self.report(
+                    node,
+                    reason,
+                    format!("a pattern of {MAX_PATTERN_BYTES} bytes at most once compiled"),
+                );
                 None
             }
         }
--- a/crates/garnetdoor-match/src/eval.rs
+++ b/crates/garnetdoor-match/src/eval.rs
@@ -1,4 +1,4 @@
-//! Working an expression out for one head. Nothing fails here, and texts are borrowed from the head wherever they can be.
+//! Evaluation of an expression for one head. It can't fail, and texts are borrowed from the head wherever possible.
 
 use std::borrow::Cow;
 use std::cmp::Ordering;
@@ -6,16 +6,17 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::check::{Code, Input, Program};
+use crate::check::{Expr, Input, Program};
 use crate::cost;
-use crate::head::{Head, Text};
+use crate::head::{RequestHead, Text};
 use crate::syntax::Comparison;
 
-/// A value.
+/// The value of an expression.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value<'a> {
+    /// An input that the head does not have, or a text that is no number.
     Absent,
-    Truth(bool),
+    Bool(bool),
     /// A number, or a duration in microseconds.
     Number(i64),
     Text(Text<'a>),
@@ -23,40 +24,41 @@
     Address(IpAddr),
 }
 
-/// Units spent on an evaluation.
+/// The cost of an evaluation in units; see [`cost`](crate::cost).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Spent(pub u64);
+pub struct Cost(pub u64);
 
 impl Program {
-    /// Works the expression out for a head, and tells what was spent.
-    pub fn eval<'a>(&'a self, head: &Head<'a>) -> (Value<'a>, Spent) {
-        let mut machine = Machine { head, spent: 0 };
-        let value = machine.eval(&self.code);
-        (value, Spent(machine.spent))
+    /// Evaluates the expression for a head; returns its value and the cost.
+    pub fn eval<'a>(&'a self, head: &RequestHead<'a>) -> (Value<'a>, Cost) {
+        let mut evaluator = Evaluator { head, cost: 0 };
+        let value = evaluator.eval(&self.expr);
+        (value, Cost(evaluator.cost))
     }
 
-    /// The same for an expression that is true or false.
-    pub fn holds(&self, head: &Head) -> bool {
-        matches!(self.eval(head).0, Value::Truth(true))
+    /// Whether an expression of type [`Type::Bool`](crate::Type) is true for a head.
+    pub fn holds(&self, head: &RequestHead) -> bool {
+        matches!(self.eval(head).0, Value::Bool(true))
     }
 }
 
-struct Machine<'h, 'a> {
-    head: &'h Head<'a>,
-    spent: u64,
+struct Evaluator<'h, 'a> {
+    head: &'h RequestHead<'a>,
+    /// Units so far.
+    cost: u64,
 }
 
 /// Bytes of a text, or of all texts of a list.
-fn bytes(value: &Value) -> usize {
+fn text_bytes(value: &Value) -> usize {
     match value {
         Value::Text(text) => text.len(),
         Value::List(texts) => texts.iter().map(|text| text.len()).sum(),
-        Value::Absent | Value::Truth(_) | Value::Number(_) | Value::Address(_) => 0,
+        Value::Absent | Value::Bool(_) | Value::Number(_) | Value::Address(_) => 0,
     }
 }
 
+/// The text of a value that is one, as the type check has established; so for `number` and `list`.
 fn text<'a>(value: Value<'a>) -> Text<'a> {
-    // Types say that it is one.
     if let Value::Text(text) = value { text } else { Cow::Borrowed("") }
 }
 
@@ -68,149 +70,153 @@
     if let Value::List(list) = value { list } else { Vec::new() }
 }
 
-impl<'a> Machine<'_, 'a> {
-    fn eval(&mut self, code: &'a Code) -> Value<'a> {
-        self.spent += 1;
-        match code {
-            Code::Truth(truth) => Value::Truth(*truth),
-            Code::Number(number) => Value::Number(*number),
-            Code::Text(text) => Value::Text(Cow::Borrowed(text)),
-            Code::Input(what) => self.input(what),
-            Code::Or(codes) => Value::Truth(codes.iter().any(|code| self.truth(code))),
-            Code::And(codes) => Value::Truth(codes.iter().all(|code| self.truth(code))),
-            Code::Not(code) => Value::Truth(!self.truth(code)),
-            Code::Compare(how, a, b) => self.compare(*how, a, b),
-            Code::InTexts(code, set, longest) => {
-                let text = self.text(code);
-                self.spent +=
-                    (usize::BITS - set.len().leading_zeros()) as u64 * cost::scan((*longest).min(text.len()));
-                Value::Truth(set.contains(text.as_ref()))
+impl<'a> Evaluator<'_, 'a> {
+    fn eval(&mut self, expr: &'a Expr) -> Value<'a> {
+        self.cost += 1;
+        match expr {
+            Expr::Bool(value) => Value::Bool(*value),
+            Expr::Number(number) => Value::Number(*number),
+            Expr::Text(text) => Value::Text(Cow::Borrowed(text)),
+            Expr::Input(input) => self.input(input),
+            Expr::Or(parts) => Value::Bool(parts.iter().any(|part| self.is_true(part))),
+            Expr::And(parts) => Value::Bool(parts.iter().all(|part| self.is_true(part))),
+            Expr::Not(operand) => Value::Bool(!self.is_true(operand)),
+            Expr::Compare(comparison, a, b) => self.compare(*comparison, a, b),
+            Expr::InTexts(operand, set, longest) => {
+                let text = self.text(operand);
+                self.cost += cost::lookup_steps(set.len()) * cost::scan_cost((*longest).min(text.len()));
+                Value::Bool(set.contains(text.as_ref()))
             }
-            Code::InNumbers(code, set) => {
-                let value = self.eval(code);
-                self.spent += (usize::BITS - set.len().leading_zeros()) as u64;
-                Value::Truth(set.contains(&number(&value)))
+            Expr::InNumbers(operand, set) => {
+                let value = self.eval(operand);
+                self.cost += cost::lookup_steps(set.len());
+                Value::Bool(set.contains(&number(&value)))
             }
-            Code::InNets(code, nets) => {
-                let value = self.eval(code);
-                self.spent += nets.len() as u64;
-                Value::Truth(matches!(value, Value::Address(at) if nets.iter().any(|net| net.contains(&at))))
+            Expr::InNetworks(address, networks) => {
+                let value = self.eval(address);
+                self.cost += networks.len() as u64;
+                let contains = |address| networks.iter().any(|network| network.contains(&address));
+                Value::Bool(matches!(value, Value::Address(address) if contains(address)))
             }
-            Code::InList(code, texts) => {
-                let (one, all) = (self.text(code), self.eval(texts));
-                self.spent += cost::scan(bytes(&all));
-                Value::Truth(list(all).contains(&one))
+            Expr::InList(text, texts) => {
+                let (text, texts) = (self.text(text), self.eval(texts));
+                self.cost += cost::scan_cost(text_bytes(&texts));
+                Value::Bool(list(texts).contains(&text))
             }
-            Code::Default(codes) => {
-                let there = codes.iter().map(|code| self.eval(code)).find(|value| *value != Value::Absent);
-                there.unwrap_or(Value::Absent)
+            Expr::Coalesce(parts) => {
+                let present = parts.iter().map(|part| self.eval(part)).find(|value| *value != Value::Absent);
+                present.unwrap_or(Value::Absent)
             }
-            Code::Sum(terms) => Value::Number(terms.iter().fold(0_i64, |sum, (minus, code)| {
-                let term = number(&self.eval(code));
-                // At its ends a sum stays there: nothing fails.
-                if *minus { sum.saturating_sub(term) } else { sum.saturating_add(term) }
+            Expr::Sum(terms) => Value::Number(terms.iter().fold(0_i64, |sum, (is_subtracted, term)| {
+                let term = number(&self.eval(term));
+                // Saturates, since evaluation must not fail.
+                if *is_subtracted { sum.saturating_sub(term) } else { sum.saturating_add(term) }
             })),
-            Code::Join(codes) => {
-                let joined: String = codes.iter().map(|code| self.text(code)).collect();
-                self.spent += cost::scan(joined.len());
+            Expr::Join(parts) => {
+                let joined: String = parts.iter().map(|part| self.text(part)).collect();
+                self.cost += cost::scan_cost(joined.len());
                 Value::Text(Cow::Owned(joined))
             }
-            Code::StartsWith(a, b) => self.both(a, b, |a, b| a.starts_with(b)),
-            Code::EndsWith(a, b) => self.both(a, b, |a, b| a.ends_with(b)),
-            Code::Contains(a, b) => {
+            Expr::StartsWith(a, b) => self.compare_texts(a, b, |a, b| a.starts_with(b)),
+            Expr::EndsWith(a, b) => self.compare_texts(a, b, |a, b| a.ends_with(b)),
+            Expr::Contains(a, b) => {
                 let (a, b) = (self.text(a), self.text(b));
-                self.spent += cost::scan(a.len()) + cost::scan(b.len());
-                Value::Truth(a.contains(b.as_ref()))
+                self.cost += cost::scan_cost(a.len()) + cost::scan_cost(b.len());
+                Value::Bool(a.contains(b.as_ref()))
             }
-            Code::Matches(code, pattern, weight) => {
-                let text = self.text(code);
-                self.spent += cost::pattern(text.len(), *weight);
-                Value::Truth(pattern.is_match(&text))
+            Expr::Matches(operand, pattern, weight) => {
+                let text = self.text(operand);
+                self.cost += cost::pattern_cost(text.len(), *weight);
+                Value::Bool(pattern.is_match(&text))
             }
-            Code::Lower(code) => {
-                let text = self.text(code);
-                self.spent += cost::scan(text.len());
-                let plain = text.chars().all(|c| !c.is_uppercase());
-                Value::Text(if plain { text } else { Cow::Owned(text.to_lowercase()) })
+            Expr::Lower(operand) => {
+                let text = self.text(operand);
+                self.cost += cost::scan_cost(text.len());
+                let is_lower = text.chars().all(|c| !c.is_uppercase());
+                Value::Text(if is_lower { text } else { Cow::Owned(text.to_lowercase()) })
             }
-            Code::Hash(code) => {
-                let text = self.text(code);
-                self.spent += cost::scan(text.len());
-                // Without its sign, so that what is derived from it need not think of one.
+            Expr::Hash(operand) => {
+                let text = self.text(operand);
+                self.cost += cost::scan_cost(text.len());
+                // 63 bits, so that hashes are never negative.
                 Value::Number((xxh3_64(text.as_bytes()) >> 1) as i64)
             }
-            Code::Length(code) => Value::Number(self.text(code).len() as i64),
-            Code::Count(texts) => Value::Number(list(self.eval(texts)).len() as i64),
-            Code::Split(code, by) => {
-                let text = self.text(code);
-                self.spent += text.len() as u64;
+            Expr::Length(operand) => Value::Number(self.text(operand).len() as i64),
+            Expr::Count(texts) => Value::Number(list(self.eval(texts)).len() as i64),
+            Expr::Split(text, separator) => {
+                let text = self.text(text);
+                self.cost += text.len() as u64;
                 Value::List(match text {
-                    Cow::Borrowed(text) => text.split(by.as_str()).map(Cow::Borrowed).collect(),
+                    Cow::Borrowed(text) => text.split(separator.as_str()).map(Cow::Borrowed).collect(),
                     Cow::Owned(text) => {
-                        text.split(by.as_str()).map(|part| Cow::Owned(part.to_owned())).collect()
+                        text.split(separator.as_str()).map(|part| Cow::Owned(part.to_owned())).collect()
                     }
                 })
             }
-            Code::Item(texts, at) => {
-                list(self.eval(texts)).into_iter().nth(*at).map_or(Value::Absent, Value::Text)
+            Expr::Item(texts, index) => {
+                list(self.eval(texts)).into_iter().nth(*index).map_or(Value::Absent, Value::Text)
             }
-            Code::ToNumber(code) => {
-                let text = self.text(code);
-                self.spent += cost::scan(text.len());
+            Expr::ToNumber(operand) => {
+                let text = self.text(operand);
+                self.cost += cost::scan_cost(text.len());
                 text.trim().parse().map_or(Value::Absent, Value::Number)
             }
-            Code::Present(code) => Value::Truth(self.eval(code) != Value::Absent),
+            Expr::Present(operand) => Value::Bool(self.eval(operand) != Value::Absent),
         }
     }
 
-    fn truth(&mut self, code: &'a Code) -> bool {
-        self.eval(code) == Value::Truth(true)
+    fn is_true(&mut self, expr: &'a Expr) -> bool {
+        self.eval(expr) == Value::Bool(true)
     }
 
-    fn text(&mut self, code: &'a Code) -> Text<'a> {
-        let value = self.eval(code);
+    fn text(&mut self, expr: &'a Expr) -> Text<'a> {
+        let value = self.eval(expr);
         text(value)
     }
 
-    fn both(&mut self, a: &'a Code, b: &'a Code, holds: impl Fn(&str, &str) -> bool) -> Value<'a> {
+    /// Compares two texts, at the cost of scanning the shorter one.
+    fn compare_texts(&mut self, a: &'a Expr, b: &'a Expr, holds: impl Fn(&str, &str) -> bool) -> Value<'a> {
         let (a, b) = (self.text(a), self.text(b));
-        self.spent += cost::scan(a.len().min(b.len()));
-        Value::Truth(holds(&a, &b))
+        self.cost += cost::scan_cost(a.len().min(b.len()));
+        Value::Bool(holds(&a, &b))
     }
 
-    fn compare(&mut self, how: Comparison, a: &'a Code, b: &'a Code) -> Value<'a> {
+    fn compare(&mut self, comparison: Comparison, a: &'a Expr, b: &'a Expr) -> Value<'a> {
         let (a, b) = (self.eval(a), self.eval(b));
-        self.spent += cost::scan(bytes(&a).min(bytes(&b)));
+        self.cost += cost::scan_cost(text_bytes(&a).min(text_bytes(&b)));
         let order = || number(&a).cmp(&number(&b));
-        Value::Truth(match how {
+        Value::Bool(match comparison {
             Comparison::Equal => a == b,
             Comparison::NotEqual => a != b,
-            Comparison::AtMost => order() != Ordering::Greater,
-            Comparison::AtLeast => order() != Ordering::Less,
+            Comparison::LessOrEqual => order() != Ordering::Greater,
+            Comparison::GreaterOrEqual => order() != Ordering::Less,
             Comparison::Less => order() == Ordering::Less,
-            Comparison::More => order() == Ordering::Greater,
+            Comparison::Greater => order() == Ordering::Greater,
+            // `in` is checked into expressions of its own.
             Comparison::In => false,
         })
     }
 
-    fn input(&mut self, what: &'a Input) -> Value<'a> {
+    fn input(&mut self, input: &'a Input) -> Value<'a> {
         let head = self.head;
-        let cookies = || head.headers("cookie").map(str::len).sum();
-        let all = if matches!(what, Input::Cookie(_)) { cookies() } else { 0 };
-        // One unit of it was counted with the step.
-        self.spent += cost::input(what, head.headers.len(), head.target.len(), all) - 1;
-        let maybe =
+        let cookie_bytes = match input {
+            Input::Cookie(_) => head.headers("cookie").map(str::len).sum(),
+            _ => 0,
+        };
+        // One unit of it has been counted for the evaluation step.
+        self.cost += cost::input_cost(input, head.headers.len(), head.target.len(), cookie_bytes) - 1;
+        let optional =
             |text: Option<&'a str>| text.map_or(Value::Absent, |text| Value::Text(Cow::Borrowed(text)));
-        match what {
+        match input {
             Input::Method => Value::Text(Cow::Borrowed(head.method)),
             Input::Path => Value::Text(Cow::Borrowed(head.path())),
             Input::Client => Value::Address(head.client),
             Input::BodyLength => Value::Number(head.body_length),
-            Input::Upgrade => Value::Truth(head.upgrade),
-            Input::Segment(number) => maybe(head.segment(*number)),
-            Input::Query(name) => maybe(head.query(name)),
-            Input::Cookie(name) => maybe(head.cookie(name)),
-            Input::Header(name) => maybe(head.headers(name).next()),
+            Input::Upgrade => Value::Bool(head.upgrade),
+            Input::Segment(index) => optional(head.segment(*index)),
+            Input::Query(name) => optional(head.query(name)),
+            Input::Cookie(name) => optional(head.cookie(name)),
+            Input::Header(name) => optional(head.headers(name).next()),
             Input::Headers(name) => Value::List(head.headers(name).map(Cow::Borrowed).collect()),
         }
     }
--- a/crates/garnetdoor-match/src/lib.rs
+++ b/crates/garnetdoor-match/src/lib.rs
@@ -1,18 +1,18 @@
-//! A typed expression language over a ticket's head, without I/O: read and checked once, bounded in cost, and unable
-//! to fail when a ticket comes.
+//! A typed expression language over the heads of HTTP requests, without I/O. Expressions are parsed and type-checked
+//! once, their cost is bounded, and their evaluation can't fail.
 //!
-//! [`Program::read`] takes a text through parsing ([`syntax`]), types ([`check`]) and the worst cost that it can have
-//! ([`cost`]); [`Program::eval`] works it out for one [`Head`], counting the same units of cost. `docs/match.md` is the
-//! reference.
+//! [`Program::compile`] parses a text ([`syntax`]), checks its types ([`check`]) and bounds its cost ([`cost`]).
+//! [`Program::eval`] evaluates it for one [`RequestHead`] and counts the units of cost that it takes. `docs/match.md` is
+//! the reference of the language.
 
 pub mod check;
 pub mod cost;
 pub mod eval;
 pub mod head;
-pub mod needs;
+pub mod required;
 pub mod syntax;
 
 pub use check::{Program, Type};
-pub use eval::{Spent, Value};
-pub use head::{Bounds, Head};
-pub use syntax::Fault;
+pub use eval::{Cost, Value};
+pub use head::{HeadLimits, RequestHead};
+pub use syntax::ExprError;
--- a/crates/garnetdoor-match/src/syntax.rs
+++ b/crates/garnetdoor-match/src/syntax.rs
@@ -1,4 +1,4 @@
-//! Text to a tree, with the place of each part.
+//! The parser: from text to a tree whose nodes know their place in the text.
 
 use std::fmt;
 use std::ops::Range;
@@ -12,131 +12,147 @@
 #[grammar = "grammar.pest"]
 struct Grammar;
 
-/// Texts longer than this are refused before they are read.
-pub const TEXT_MOST: usize = 16 * 1024;
-/// And expressions nested deeper: the reader goes down as deep as the text.
-const DEPTH_MOST: usize = 64;
+/// The longest text that is parsed, in bytes.
+pub const MAX_TEXT_BYTES: usize = 16 * 1024;
+/// The deepest nesting of an expression: the parser recurses as deep as the text nests.
+const MAX_DEPTH: usize = 64;
 
-/// One thing wrong with a text.
+/// An error in the text of an expression.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Which bytes of the text.
-    pub at: Range<usize>,
+pub struct ExprError {
+    /// The bytes of the text that it concerns.
+    pub span: Range<usize>,
     pub found: String,
     pub expected: String,
 }
 
-impl Fault {
-    /// The fault with its place: `FILE:LINE:COLUMN`, the line, and a caret below.
-    pub fn show<'a>(&'a self, file: &'a str, text: &'a str) -> impl fmt::Display + 'a {
-        Shown { fault: self, file, text }
+impl ExprError {
+    /// The error as `FILE:LINE:COLUMN: found …, expected …`, the line of the text, and carets below the place.
+    pub fn display<'a>(&'a self, file: &'a str, text: &'a str) -> impl fmt::Display + 'a {
+        ErrorDisplay { error: self, file, text }
     }
 
     /// Line and column, both from 1; columns count characters.
-    pub fn place(&self, text: &str) -> (usize, usize) {
-        let before = &text[..self.at.start.min(text.len())];
+    pub fn line_and_column(&self, text: &str) -> (usize, usize) {
+        let before = &text[..self.span.start.min(text.len())];
         let line = before.rsplit('\n').next().unwrap_or_default();
         (before.matches('\n').count() + 1, line.chars().count() + 1)
     }
 }
 
-struct Shown<'a> {
-    fault: &'a Fault,
+struct ErrorDisplay<'a> {
+    error: &'a ExprError,
     file: &'a str,
     text: &'a str,
 }
 
-impl fmt::Display for Shown<'_> {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        let Fault { at, found, expected } = self.fault;
-        let (line, column) = self.fault.place(self.text);
-        let shown = self.text.lines().nth(line - 1).unwrap_or_default();
-        let under = self.text.get(at.clone()).unwrap_or_default().lines().next().unwrap_or_default();
-        let carets = "^".repeat(under.chars().count().max(1));
-        writeln!(to, "{}:{line}:{column}: found {found}, expected {expected}", self.file)?;
-        writeln!(to, "    {shown}")?;
-        write!(to, "    {}{carets}", " ".repeat(column - 1))
+impl fmt::Display for ErrorDisplay<'_> {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        let ExprError { span, found, expected } = self.error;
+        let (line, column) = self.error.line_and_column(self.text);
+        let source_line = self.text.lines().nth(line - 1).unwrap_or_default();
+        let marked = self.text.get(span.clone()).unwrap_or_default().lines().next().unwrap_or_default();
+        let carets = "^".repeat(marked.chars().count().max(1));
+        writeln!(formatter, "{}:{line}:{column}: found {found}, expected {expected}", self.file)?;
+        writeln!(formatter, "    {source_line}")?;
+        write!(formatter, "    {}{carets}", " ".repeat(column - 1))
     }
 }
 
-/// How two values are compared.
+/// A comparison operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
     Equal,
     NotEqual,
-    AtMost,
-    AtLeast,
+    LessOrEqual,
+    GreaterOrEqual,
     Less,
-    More,
+    Greater,
     In,
 }
 
-/// A value that is written down.
+/// A literal value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Literal {
-    Truth(bool),
+    Bool(bool),
     Number(i64),
-    /// Whole microseconds.
+    /// In microseconds.
     Duration(i64),
     Text(String),
 }
 
-/// A part of an expression, and where it stands.
+/// A node of the syntax tree with the bytes of the text that it was parsed from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    pub at: Range<usize>,
-    pub part: Part,
+    pub span: Range<usize>,
+    pub kind: NodeKind,
 }
 
+/// What a node is.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum NodeKind {
     Or(Vec<Node>),
     And(Vec<Node>),
     Not(Box<Node>),
     Compare(Comparison, Box<Node>, Box<Node>),
-    /// The first that is there.
-    Default(Vec<Node>),
-    /// Terms with their signs; true for minus.
+    /// Operands of `??`: the first that is present.
+    Coalesce(Vec<Node>),
+    /// Terms, each with whether it is subtracted.
     Sum(Vec<(bool, Node)>),
+    /// A function's name and its arguments.
     Call(String, Vec<Node>),
     Name(String),
     List(Vec<Node>),
     Literal(Literal),
 }
 
-/// Reads a text; a fault says what could have stood there.
-pub fn parse(text: &str) -> Result<Node, Fault> {
-    let whole = |found: String, expected: String| Fault { at: 0..text.len().min(1), found, expected };
-    if text.len() > TEXT_MOST {
-        return Err(whole(format!("{} bytes", text.len()), format!("{TEXT_MOST} bytes at most")));
+/// Parses a text. An error says what could stand at its place.
+pub fn parse(text: &str) -> Result<Node, ExprError> {
+    let text_error =
+        |found: String, expected: String| ExprError { span: 0..text.len().min(1), found, expected };
+    if text.len() > MAX_TEXT_BYTES {
+        return Err(text_error(format!("{} bytes", text.len()), format!("{MAX_TEXT_BYTES} bytes at most")));
     }
+    check_nesting(text)?;
+    // Each `not` of `not not not …` is a level of recursion.
+    if text.split_whitespace().filter(|word| *word == "not").count() > MAX_DEPTH {
+        return Err(text_error("too many not".to_owned(), format!("{MAX_DEPTH} at most")));
+    }
+    let parsed = Grammar::parse(Rule::program, text).map_err(|error| syntax_error(text, &error))?;
+    let is_too_large =
+        |pair: &Pair<Rule>| pair.as_rule() == Rule::number && pair.as_str().parse::<i64>().is_err();
+    if let Some(pair) = parsed.clone().flatten().find(is_too_large) {
+        let (span, expected) =
+            (pair.as_span().start()..pair.as_span().end(), "a number of 64 bits".to_owned());
+        return Err(ExprError { span, found: pair.as_str().to_owned(), expected });
+    }
+    let or = parsed.flat_map(Pair::into_inner).find(|pair| pair.as_rule() == Rule::or);
+    or.map(node).ok_or_else(|| text_error("nothing".to_owned(), "an expression".to_owned()))
+}
+
+/// Refuses parentheses and brackets that nest deeper than [`MAX_DEPTH`].
+fn check_nesting(text: &str) -> Result<(), ExprError> {
     let mut depth = 0_usize;
-    for (at, byte) in text.bytes().enumerate() {
+    for (position, byte) in text.bytes().enumerate() {
         match byte {
             b'(' | b'[' => depth += 1,
             b')' | b']' => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEPTH_MOST {
-            let expected = format!("{DEPTH_MOST} levels at most");
-            return Err(Fault { at: at..at + 1, found: "a deeper level".to_owned(), expected });
+        if depth > MAX_DEPTH {
+            let expected = format!("{MAX_DEPTH} levels at most");
+            return Err(ExprError {
+                span: position..position + 1,
+                found: "a deeper level".to_owned(),
+                expected,
+            });
         }
     }
-    // `not not not …` goes down a level each.
-    if text.split_whitespace().filter(|word| *word == "not").count() > DEPTH_MOST {
-        return Err(whole("too many not".to_owned(), format!("{DEPTH_MOST} at most")));
-    }
-    let parsed = Grammar::parse(Rule::whole, text).map_err(|error| fault(text, &error))?;
-    let large = |pair: &Pair<Rule>| pair.as_rule() == Rule::number && pair.as_str().parse::<i64>().is_err();
-    if let Some(pair) = parsed.clone().flatten().find(large) {
-        let (at, expected) = (pair.as_span().start()..pair.as_span().end(), "a number of 64 bits".to_owned());
-        return Err(Fault { at, found: pair.as_str().to_owned(), expected });
-    }
-    let or = parsed.flat_map(Pair::into_inner).find(|pair| pair.as_rule() == Rule::or);
-    or.map(node).ok_or_else(|| whole("nothing".to_owned(), "an expression".to_owned()))
+    Ok(())
 }
 
-fn fault(text: &str, error: &pest::error::Error<Rule>) -> Fault {
+/// Translates an error of the parser.
+fn syntax_error(text: &str, error: &pest::error::Error<Rule>) -> ExprError {
     let start = match error.location {
         InputLocation::Pos(at) | InputLocation::Span((at, _)) => at,
     };
@@ -146,122 +162,124 @@
     let found = if length == 0 { "the end".to_owned() } else { format!("{:?}", &rest[..length]) };
     let expected = match &error.variant {
         ErrorVariant::ParsingError { positives, .. } => {
-            let mut names: Vec<_> = positives.iter().map(|rule| words(*rule)).collect();
+            let mut names: Vec<_> = positives.iter().map(|rule| rule_name(*rule)).collect();
             names.sort_unstable();
             names.dedup();
             names.join(", ")
         }
         ErrorVariant::CustomError { message } => message.clone(),
     };
-    Fault { at: start..start + length, found, expected }
+    ExprError { span: start..start + length, found, expected }
 }
 
-/// What a rule is called in messages.
-fn words(rule: Rule) -> &'static str {
+/// The name of a rule in error messages.
+fn rule_name(rule: Rule) -> &'static str {
     match rule {
         Rule::word_or => "or",
         Rule::word_and => "and",
         Rule::comparison | Rule::word_in => "a comparison",
         Rule::sign => "+ or -",
         Rule::EOI => "the end",
-        Rule::inner | Rule::text => "text in quotes",
+        Rule::content | Rule::text => "text in quotes",
         Rule::word_not => "not",
-        Rule::literal | Rule::truth | Rule::number | Rule::duration => "a value",
+        Rule::literal | Rule::boolean | Rule::number | Rule::duration => "a value",
         _ => "an expression",
     }
 }
 
+/// Builds the node of a parsed rule. Rules that hold only one other, such as a sum of one term, get no node of their own.
 fn node(pair: Pair<Rule>) -> Node {
-    let at = pair.as_span().start()..pair.as_span().end();
+    let span = pair.as_span().start()..pair.as_span().end();
     let rule = pair.as_rule();
     let text = pair.as_str();
     let inner = || pair.clone().into_inner();
-    let part = match rule {
-        Rule::or | Rule::and | Rule::default => {
-            let word = |pair: &Pair<Rule>| matches!(pair.as_rule(), Rule::word_or | Rule::word_and);
-            let mut parts: Vec<_> = inner().filter(|pair| !word(pair)).map(node).collect();
+    let kind = match rule {
+        Rule::or | Rule::and | Rule::coalesce => {
+            let is_keyword = |pair: &Pair<Rule>| matches!(pair.as_rule(), Rule::word_or | Rule::word_and);
+            let mut parts: Vec<_> = inner().filter(|pair| !is_keyword(pair)).map(node).collect();
             match (parts.len(), rule) {
                 (1, _) => return parts.remove(0),
-                (_, Rule::or) => Part::Or(parts),
-                (_, Rule::and) => Part::And(parts),
-                _ => Part::Default(parts),
+                (_, Rule::or) => NodeKind::Or(parts),
+                (_, Rule::and) => NodeKind::And(parts),
+                _ => NodeKind::Coalesce(parts),
             }
         }
         Rule::not => {
             let mut parts: Vec<_> =
                 inner().filter(|pair| pair.as_rule() != Rule::word_not).map(node).collect();
             let negated = inner().next().is_some_and(|pair| pair.as_rule() == Rule::word_not);
-            let only = parts.remove(0);
+            let operand = parts.remove(0);
             if !negated {
-                return only;
+                return operand;
             }
-            Part::Not(Box::new(only))
+            NodeKind::Not(Box::new(operand))
         }
         Rule::compare => {
             let mut parts = inner();
             let left = parts.next().map(node);
-            let (Some(left), Some(how), Some(right)) = (left.clone(), parts.next(), parts.next()) else {
-                return left.unwrap_or(Node { at, part: Part::List(Vec::new()) });
+            let (Some(left), Some(operator), Some(right)) = (left.clone(), parts.next(), parts.next()) else {
+                return left.unwrap_or(Node { span, kind: NodeKind::List(Vec::new()) });
             };
-            let how = match how.as_str() {
+            let comparison = match operator.as_str() {
                 "==" => Comparison::Equal,
                 "!=" => Comparison::NotEqual,
-                "<=" => Comparison::AtMost,
-                ">=" => Comparison::AtLeast,
+                "<=" => Comparison::LessOrEqual,
+                ">=" => Comparison::GreaterOrEqual,
                 "<" => Comparison::Less,
-                ">" => Comparison::More,
+                ">" => Comparison::Greater,
                 _ => Comparison::In,
             };
-            Part::Compare(how, Box::new(left), Box::new(node(right)))
+            NodeKind::Compare(comparison, Box::new(left), Box::new(node(right)))
         }
         Rule::sum => {
-            let (mut terms, mut minus) = (Vec::new(), false);
+            let (mut terms, mut is_subtracted) = (Vec::new(), false);
             for pair in inner() {
                 if pair.as_rule() == Rule::sign {
-                    minus = pair.as_str() == "-";
+                    is_subtracted = pair.as_str() == "-";
                 } else {
-                    terms.push((minus, node(pair)));
+                    terms.push((is_subtracted, node(pair)));
                 }
             }
             if terms.len() == 1 {
                 return terms.remove(0).1;
             }
-            Part::Sum(terms)
+            NodeKind::Sum(terms)
         }
         Rule::call => {
             let mut parts = inner();
             let name = parts.next().map(|name| name.as_str().to_owned()).unwrap_or_default();
-            Part::Call(name, parts.map(node).collect())
+            NodeKind::Call(name, parts.map(node).collect())
         }
-        Rule::list => Part::List(inner().map(node).collect()),
-        Rule::name => Part::Name(text.to_owned()),
-        Rule::truth => Part::Literal(Literal::Truth(text == "true")),
-        Rule::number => Part::Literal(Literal::Number(text.parse().unwrap_or_default())),
-        Rule::duration => Part::Literal(Literal::Duration(duration(text))),
+        Rule::list => NodeKind::List(inner().map(node).collect()),
+        Rule::name => NodeKind::Name(text.to_owned()),
+        Rule::boolean => NodeKind::Literal(Literal::Bool(text == "true")),
+        Rule::number => NodeKind::Literal(Literal::Number(text.parse().unwrap_or_default())),
+        Rule::duration => NodeKind::Literal(Literal::Duration(duration(text))),
         Rule::text => {
-            let inner = inner().next().map(|inner| inner.as_str().to_owned()).unwrap_or_default();
-            Part::Literal(Literal::Text(unescape(&inner)))
+            let content = inner().next().map(|content| content.as_str().to_owned()).unwrap_or_default();
+            NodeKind::Literal(Literal::Text(unescape(&content)))
         }
-        // Rules that only hold one other.
+        // Rules that hold only one other.
         _ => match inner().next() {
             Some(only) => return node(only),
-            None => Part::Name(text.to_owned()),
+            None => NodeKind::Name(text.to_owned()),
         },
     };
-    Node { at, part }
+    Node { span, kind }
 }
 
-/// A duration in microseconds; as large as can be where it would not fit.
+/// A duration in microseconds, saturated if it does not fit.
 fn duration(text: &str) -> i64 {
-    let (digits, unit) = match text {
+    let (digits, micros_per_unit) = match text {
         us if us.ends_with("us") => (&us[..us.len() - 2], 1.0),
         ms if ms.ends_with("ms") => (&ms[..ms.len() - 2], 1e3),
         s => (&s[..s.len() - 1], 1e6),
     };
-    // The cast holds at the type's ends.
-    (digits.parse::<f64>().unwrap_or(f64::MAX) * unit).round() as i64
+    // The cast saturates.
+    (digits.parse::<f64>().unwrap_or(f64::MAX) * micros_per_unit).round() as i64
 }
 
+/// Replaces the escapes in the content of a quoted text.
 fn unescape(text: &str) -> String {
     let mut plain = String::with_capacity(text.len());
     let mut chars = text.chars();
@@ -280,79 +298,79 @@
     plain
 }
 
-/// An expression as text that reads back as the same.
+/// Formats an expression as text that parses to the same tree.
 impl fmt::Display for Node {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        let joined = |to: &mut fmt::Formatter, parts: &[Node], by: &str| {
-            write!(to, "(")?;
-            for (n, part) in parts.iter().enumerate() {
-                write!(to, "{}{part}", if n > 0 { by } else { "" })?;
-            }
-            write!(to, ")")
-        };
-        match &self.part {
-            Part::Or(parts) => joined(to, parts, " or "),
-            Part::And(parts) => joined(to, parts, " and "),
-            Part::Default(parts) => joined(to, parts, " ?? "),
-            Part::Not(part) => write!(to, "(not {part})"),
-            Part::Compare(how, left, right) => {
-                let how = match how {
-                    Comparison::Equal => "==",
-                    Comparison::NotEqual => "!=",
-                    Comparison::AtMost => "<=",
-                    Comparison::AtLeast => ">=",
-                    Comparison::Less => "<",
-                    Comparison::More => ">",
-                    Comparison::In => "in",
-                };
-                write!(to, "({left} {how} {right})")
-            }
-            Part::Sum(terms) => {
-                write!(to, "(")?;
-                for (n, (minus, term)) in terms.iter().enumerate() {
-                    write!(
-                        to,
-                        "{}{term}",
-                        if n == 0 {
-                            ""
-                        } else if *minus {
-                            " - "
-                        } else {
-                            " + "
-                        }
-                    )?;
-                }
-                write!(to, ")")
-            }
-            Part::Call(name, parts) => {
-                write!(to, "{name}(")?;
-                for (n, part) in parts.iter().enumerate() {
-                    write!(to, "{}{part}", if n > 0 { ", " } else { "" })?;
-                }
-                write!(to, ")")
-            }
-            Part::Name(name) => write!(to, "{name}"),
-            Part::List(parts) => {
-                write!(to, "[")?;
-                for (n, part) in parts.iter().enumerate() {
-                    write!(to, "{}{part}", if n > 0 { ", " } else { "" })?;
-                }
-                write!(to, "]")
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        match &self.kind {
+            NodeKind::Or(parts) => write_list(formatter, ["(", " or ", ")"], parts),
+            NodeKind::And(parts) => write_list(formatter, ["(", " and ", ")"], parts),
+            NodeKind::Coalesce(parts) => write_list(formatter, ["(", " ?? ", ")"], parts),
+            NodeKind::Not(part) => write!(formatter, "(not {part})"),
+            NodeKind::Compare(comparison, left, right) => {
+                write!(formatter, "({left} {} {right})", comparison.symbol())
             }
-            Part::Literal(Literal::Truth(truth)) => write!(to, "{truth}"),
-            Part::Literal(Literal::Number(number)) => write!(to, "{number}"),
-            Part::Literal(Literal::Duration(micros)) => write!(to, "{micros}us"),
-            Part::Literal(Literal::Text(text)) => {
-                let escape = |char| match char {
-                    '"' => "\\\"".to_owned(),
-                    '\\' => "\\\\".to_owned(),
-                    '\n' => "\\n".to_owned(),
-                    '\t' => "\\t".to_owned(),
-                    '\r' => "\\r".to_owned(),
-                    other => String::from(other),
-                };
-                write!(to, "\"{}\"", text.chars().map(escape).collect::<String>())
+            NodeKind::Sum(terms) => write_sum(formatter, terms),
+            NodeKind::Call(name, arguments) => {
+                write!(formatter, "{name}")?;
+                write_list(formatter, ["(", ", ", ")"], arguments)
             }
+            NodeKind::Name(name) => write!(formatter, "{name}"),
+            NodeKind::List(items) => write_list(formatter, ["[", ", ", "]"], items),
+            NodeKind::Literal(Literal::Bool(value)) => write!(formatter, "{value}"),
+            NodeKind::Literal(Literal::Number(number)) => write!(formatter, "{number}"),
+            NodeKind::Literal(Literal::Duration(micros)) => write!(formatter, "{micros}us"),
+            NodeKind::Literal(Literal::Text(text)) => write!(formatter, "\"{}\"", escape(text)),
+        }
+    }
+}
+
+impl Comparison {
+    /// The operator as it is written in an expression.
+    fn symbol(self) -> &'static str {
+        match self {
+            Comparison::Equal => "==",
+            Comparison::NotEqual => "!=",
+            Comparison::LessOrEqual => "<=",
+            Comparison::GreaterOrEqual => ">=",
+            Comparison::Less => "<",
+            Comparison::Greater => ">",
+            Comparison::In => "in",
         }
     }
 }
+
+/// Writes nodes with what stands before, between and after them.
+fn write_list(formatter: &mut fmt::Formatter, marks: [&str; 3], nodes: &[Node]) -> fmt::Result {
+    let [open, separator, close] = marks;
+    write!(formatter, "{open}")?;
+    for (index, node) in nodes.iter().enumerate() {
+        write!(formatter, "{}{node}", if index > 0 { separator } else { "" })?;
+    }
+    write!(formatter, "{close}")
+}
+
+fn write_sum(formatter: &mut fmt::Formatter, terms: &[(bool, Node)]) -> fmt::Result {
+    write!(formatter, "(")?;
+    for (index, (is_subtracted, term)) in terms.iter().enumerate() {
+        let sign = match (index, is_subtracted) {
+            (0, _) => "",
+            (_, true) => " - ",
+            (_, false) => " + ",
+        };
+        write!(formatter, "{sign}{term}")?;
+    }
+    write!(formatter, ")")
+}
+
+/// Escapes a text so that it can stand between quotes.
+fn escape(text: &str) -> String {
+    let escape_char = |char| match char {
+        '"' => "\\\"".to_owned(),
+        '\\' => "\\\\".to_owned(),
+        '\n' => "\\n".to_owned(),
+        '\t' => "\\t".to_owned(),
+        '\r' => "\\r".to_owned(),
+        other => String::from(other),
+    };
+    text.chars().map(escape_char).collect()
+}
--- a/crates/garnetdoor-routes/src/groups.rs
+++ b/crates/garnetdoor-routes/src/groups.rs
@@ -1,150 +1,176 @@
-//! Limit groups: how many tickets pass in a time, and how many are under way, for all of a group or by key.
+//! Limit groups: how many requests pass per second and how many are in flight, for a whole group or for each key.
 //!
-//! The rate is held by GCRA (the "virtual scheduling" of ITU-T I.371): one time for each key says when its next ticket is
-//! due at the told rate; a ticket may be ahead of it by the burst. Keys that are back at rest are forgotten; where more are
-//! not at rest than may be kept, further ones share one place, so that keys which never end can't take the memory.
+//! Rates are limited by GCRA (the "virtual scheduling" algorithm of ITU-T I.371): for each key it keeps one time, at which
+//! the next request is due at the configured rate, and a request may be ahead of it by the burst. Idle keys are forgotten.
+//! Where more keys are active than may be kept, the others share one bucket, so that an endless supply of keys can't use
+//! up the memory.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use garnetdoor::host::Micros;
 
-const SECOND: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
+/// The shortest retry time where a group is at its concurrency limit: it is not known when a request in flight ends.
+const MIN_RETRY_WHEN_FULL: Micros = 100_000;
+/// The shortest retry time where a group is at its rate limit.
+const MIN_RETRY: Micros = 1_000;
+
+/// A limit on the rate of requests.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RateLimit {
+    pub per_second: f64,
+    /// Requests that may come at once.
+    pub burst: f64,
+}
+
+impl RateLimit {
+    /// The time between requests at this rate.
+    fn interval(self) -> f64 {
+        MICROS_PER_SECOND / self.per_second
+    }
+}
 
 /// A group's limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limit {
-    /// Tickets a second, and how many may come at once.
-    pub rate: Option<(f64, f64)>,
-    /// Tickets under way.
-    pub concurrent: Option<usize>,
-    /// Each key by itself, else all together.
+    pub rate: Option<RateLimit>,
+    /// The most requests in flight.
+    pub max_concurrent: Option<usize>,
+    /// Whether the limits are for each key by itself, else for all requests together.
     pub by_key: bool,
-    /// Keys kept at one time.
-    pub keys_most: usize,
+    /// The most keys that are kept at one time.
+    pub max_keys: usize,
 }
 
-/// A ticket that passed; given back once it is over.
+/// The permission for a request, to be given back by [`Groups::release`] when the request ends.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Pass {
+pub struct Permit {
     group: usize,
-    slot: Slot,
+    bucket: Bucket,
 }
 
-/// No room: trying again does no harm, after this time.
+/// The group is at its limit. The request has not run, so it may be repeated safely after this time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TurnedBack {
-    pub come_back_in: Micros,
+pub struct Rejected {
+    pub retry_after: Micros,
 }
 
+/// What a request is counted in.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Slot {
-    All,
+enum Bucket {
+    /// All requests of a group that is not limited by key, or without a key.
+    Shared,
     Key(String),
-    /// Keys for which there was no place of their own.
-    Rest,
+    /// All keys for which there is no bucket of their own.
+    Overflow,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Place {
-    /// When the next ticket is due at the told rate.
-    due: Micros,
-    under_way: usize,
+struct BucketState {
+    /// When the next request is due at the configured rate.
+    next_due: Micros,
+    in_flight: usize,
 }
 
 struct Group {
     limit: Limit,
-    places: BTreeMap<Slot, Place>,
-    /// Places by when they are at rest, if nothing is under way there.
-    at_rest: BTreeSet<(Micros, Slot)>,
+    buckets: BTreeMap<Bucket, BucketState>,
+    /// Buckets without requests in flight, by the time from which they are idle.
+    idle: BTreeSet<(Micros, Bucket)>,
 }
 
-/// All groups of a gateway.
+/// All limit groups of a gateway.
 pub struct Groups {
     groups: Vec<Group>,
-    chance: oorandom::Rand64,
+    rng: oorandom::Rand64,
 }
 
 impl Groups {
+    /// Groups with these limits, by their index. `seed` is for the spread of retry times.
     pub fn new(limits: Vec<Limit>, seed: u64) -> Self {
-        let groups = limits.into_iter().map(|limit| Group {
-            limit,
-            places: BTreeMap::new(),
-            at_rest: BTreeSet::new(),
-        });
-        Groups { groups: groups.collect(), chance: oorandom::Rand64::new(u128::from(seed)) }
+        Groups {
+            groups: limits.into_iter().map(Group::new).collect(),
+            rng: oorandom::Rand64::new(u128::from(seed)),
+        }
     }
 
-    /// Keys kept in a group.
-    pub fn kept(&self, group: usize) -> usize {
-        self.groups.get(group).map_or(0, |group| group.places.len())
+    /// Number of buckets kept in a group.
+    pub fn bucket_count(&self, group: usize) -> usize {
+        self.groups.get(group).map_or(0, |group| group.buckets.len())
     }
 
-    /// Takes over other limits. Groups stand in the order of their numbers; what a group that stays has counted is kept.
+    /// Takes over other limits by the index of their groups. Groups that remain keep their counts.
     pub fn reload(&mut self, limits: Vec<Limit>) {
         self.groups.truncate(limits.len());
-        for (at, limit) in limits.into_iter().enumerate() {
-            match self.groups.get_mut(at) {
+        for (index, limit) in limits.into_iter().enumerate() {
+            match self.groups.get_mut(index) {
                 Some(group) => group.limit = limit,
-                None => self.groups.push(Group { limit, places: BTreeMap::new(), at_rest: BTreeSet::new() }),
+                None => self.groups.push(Group::new(limit)),
             }
         }
     }
 
-    /// A ticket of a group asks to pass; `key` is its own, if it has one. A group that is not there limits nothing.
-    pub fn asks(&mut self, now: Micros, group: usize, key: Option<&str>) -> Result<Pass, TurnedBack> {
-        let number = group;
-        let Some(group) = self.groups.get_mut(number) else {
-            return Ok(Pass { group: number, slot: Slot::All });
+    /// Asks for a request of a group to pass; `key` is the request's, if it has one. A group that does not exist has no
+    /// limits.
+    pub fn acquire(&mut self, now: Micros, group: usize, key: Option<&str>) -> Result<Permit, Rejected> {
+        let index = group;
+        let Some(group) = self.groups.get_mut(index) else {
+            return Ok(Permit { group: index, bucket: Bucket::Shared });
         };
-        let slot = group.slot(now, key);
-        let place = group.places.get(&slot).copied().unwrap_or_default();
-        let each = group.limit.rate.map(|(rate, _)| SECOND / rate);
-        let ahead = group.limit.rate.map_or(0.0, |(rate, burst)| SECOND / rate * (burst - 1.0).max(0.0));
-        let late = place.due - now - ahead as Micros;
-        let full = group.limit.concurrent.is_some_and(|most| place.under_way >= most);
-        if (each.is_some() && late > 0) || full {
-            // What waits comes back spread over as long again, and not as one. Where nothing says when a ticket under way
-            // ends, a tenth of a second stands for it.
-            let wait = late.max(if full { 100_000 } else { 1_000 });
+        let bucket = group.bucket(now, key);
+        let state = group.buckets.get(&bucket).copied().unwrap_or_default();
+        let interval = group.limit.rate.map(RateLimit::interval);
+        let allowed_ahead =
+            group.limit.rate.map_or(0.0, |rate| rate.interval() * (rate.burst - 1.0).max(0.0));
+        let too_early_by = state.next_due - now - allowed_ahead as Micros;
+        let full = group.limit.max_concurrent.is_some_and(|most| state.in_flight >= most);
+        if (interval.is_some() && too_early_by > 0) || full {
+            // Retries are spread over as long again, so that not all come back at once.
+            let wait = too_early_by.max(if full { MIN_RETRY_WHEN_FULL } else { MIN_RETRY });
             let spread =
-                (self.chance.rand_float() * wait.max(each.unwrap_or(0.0) as Micros) as f64) as Micros;
-            return Err(TurnedBack { come_back_in: wait + spread });
+                (self.rng.rand_float() * wait.max(interval.unwrap_or(0.0) as Micros) as f64) as Micros;
+            return Err(Rejected { retry_after: wait + spread });
         }
-        let due = place.due.max(now) + each.map_or(0, |each| each.round() as Micros);
-        group.set(&slot, Place { due, under_way: place.under_way + 1 });
-        Ok(Pass { group: number, slot })
+        let next_due = state.next_due.max(now) + interval.map_or(0, |interval| interval.round() as Micros);
+        group.set_state(&bucket, BucketState { next_due, in_flight: state.in_flight + 1 });
+        Ok(Permit { group: index, bucket })
     }
 
-    /// A ticket that passed is over.
-    pub fn over(&mut self, pass: Pass) {
-        let Some(group) = self.groups.get_mut(pass.group) else { return };
-        if let Some(place) = group.places.get(&pass.slot).copied() {
-            group.set(&pass.slot, Place { under_way: place.under_way.saturating_sub(1), ..place });
+    /// The request of a permit has ended.
+    pub fn release(&mut self, permit: Permit) {
+        let Some(group) = self.groups.get_mut(permit.group) else { return };
+        if let Some(state) = group.buckets.get(&permit.bucket).copied() {
+            let in_flight = state.in_flight.saturating_sub(1);
+            group.set_state(&permit.bucket, BucketState { in_flight, ..state });
         }
     }
 }
 
 impl Group {
-    /// The place that a ticket counts in; makes room for a new key if some are at rest.
-    fn slot(&mut self, now: Micros, key: Option<&str>) -> Slot {
-        let Some(key) = key.filter(|_| self.limit.by_key) else { return Slot::All };
-        let slot = Slot::Key(key.to_owned());
-        if self.places.contains_key(&slot) {
-            return slot;
+    fn new(limit: Limit) -> Self {
+        Group { limit, buckets: BTreeMap::new(), idle: BTreeSet::new() }
+    }
+
+    /// The bucket that a request is counted in. For a new key it first forgets idle buckets.
+    fn bucket(&mut self, now: Micros, key: Option<&str>) -> Bucket {
+        let Some(key) = key.filter(|_| self.limit.by_key) else { return Bucket::Shared };
+        let bucket = Bucket::Key(key.to_owned());
+        if self.buckets.contains_key(&bucket) {
+            return bucket;
         }
-        while let Some((at, first)) = self.at_rest.first().cloned().filter(|(at, _)| *at <= now) {
-            self.at_rest.remove(&(at, first.clone()));
-            self.places.remove(&first);
+        while let Some((idle_from, idle)) = self.idle.first().cloned().filter(|(at, _)| *at <= now) {
+            self.idle.remove(&(idle_from, idle.clone()));
+            self.buckets.remove(&idle);
         }
-        if self.places.len() < self.limit.keys_most { slot } else { Slot::Rest }
+        if self.buckets.len() < self.limit.max_keys { bucket } else { Bucket::Overflow }
     }
 
-    fn set(&mut self, slot: &Slot, place: Place) {
-        if let Some(old) = self.places.insert(slot.clone(), place) {
-            self.at_rest.remove(&(old.due, slot.clone()));
+    fn set_state(&mut self, bucket: &Bucket, state: BucketState) {
+        if let Some(previous) = self.buckets.insert(bucket.clone(), state) {
+            self.idle.remove(&(previous.next_due, bucket.clone()));
         }
-        if place.under_way == 0 {
-            self.at_rest.insert((place.due, slot.clone()));
+        if state.in_flight == 0 {
+            self.idle.insert((state.next_due, bucket.clone()));
         }
     }
 }
--- a/crates/garnetdoor-routes/src/lib.rs
+++ b/crates/garnetdoor-routes/src/lib.rs
@@ -1,8 +1,9 @@
-//! What a ticket is, and whether its group has room for it, without I/O.
+//! Classifies requests and limits them by group, without I/O.
 //!
-//! [`rules`] is an ordered set of rules over the expression language: the first that holds says a ticket's profile, key,
-//! party, agreed time and limit group. [`groups`] are limits by rate and by how many are under way, for all or by key,
-//! with bounded memory. [`pools`] are named parts of the server list with ways down between them. Which server a ticket goes to stays `garnetdoor::balance`'s to decide.
+//! [`rules`] is an ordered set of rules in the expression language of `garnetdoor-match`: the first one that holds
+//! determines a request's profile, key, party, deadline and limit group. [`groups`] limits the rate and the concurrency of
+//! a group, as a whole or for each key, in bounded memory. [`pools`] are named parts of the server list with fallbacks
+//! between them. Which server a request goes to is decided by `garnetdoor::balance`.
 
 pub mod groups;
 pub mod pools;
--- a/crates/garnetdoor-routes/src/pools.rs
+++ b/crates/garnetdoor-routes/src/pools.rs
@@ -1,9 +1,9 @@
-//! Pools: named parts of the server list, each with the pool that follows when it can't carry its tickets.
+//! Pools: named parts of the server list, each with a fallback pool for when it can't carry its requests.
 //!
-//! How much of a pool is open is its healthy servers by warmth, over the most that it had within [`REMEMBERED`]: servers
-//! that the list no longer has are missing, and not forgotten at once. Where too little is open, tickets go down to the next
-//! pool. A pool that comes back is taken up again slowly and only once it stays: its servers are cold, and traffic that
-//! goes back and forth fits neither pool.
+//! The open fraction of a pool is the warmth of its healthy servers over the largest size that the pool had within
+//! [`SIZE_MEMORY`]: servers that are no longer listed count as missing for that long. If too little is open, requests go
+//! to the fallback pool. A pool that recovers gets its requests back slowly, and only once it stays open, because its
+//! servers are cold and traffic that switches back and forth overloads both pools.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -11,58 +11,60 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// How long a pool's former size counts.
-pub const REMEMBERED: Micros = 600 * SECOND;
-/// A pool that was closed must be open enough for so long before it is taken up again.
-const STEADY: Micros = 5 * SECOND;
-/// The part of its tickets that goes to a pool grows by so much a second at most.
-const RISE: f64 = 0.1;
+/// How long a pool's largest size is remembered.
+pub const SIZE_MEMORY: Micros = 600 * SECOND;
+/// How long a closed pool must be open enough before it gets requests again.
+const RECOVERY_TIME: Micros = 5 * SECOND;
+/// The fraction of its requests that a pool gets grows by at most this much per second.
+const MAX_RISE_PER_SECOND: f64 = 0.1;
 
-/// How tickets go down.
+/// When requests go to the fallback pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
-    /// Only once nothing of the pool is open.
-    Last,
-    /// All of them once less than `less_than` is open.
-    AtOnce,
-    /// As many as the open part can't carry.
+pub enum FallbackMode {
+    /// Only when no server of the pool is open.
+    OnlyWhenEmpty,
+    /// All requests as soon as less than `fallback_below` is open.
+    AllAtOnce,
+    /// As soon as less than `fallback_below` is open, the fraction of requests that the pool can't carry.
     #[default]
-    Share,
+    Proportional,
 }
 
-/// A pool as it is told.
+/// A pool's configuration.
 #[derive(Clone, Debug)]
 pub struct Pool {
     pub name: String,
-    /// What its servers have; empty: any.
+    /// The zones of its servers; empty: any.
     pub zones: BTreeSet<ZoneId>,
-    pub kinds: BTreeSet<MachineTypeId>,
-    /// How their names begin; empty: any way.
+    /// The machine types of its servers; empty: any.
+    pub machine_types: BTreeSet<MachineTypeId>,
+    /// The prefix of its servers' names; empty: any.
     pub prefix: String,
-    /// The part that must be open for all of its tickets.
-    pub less_than: f64,
-    /// The part at which a closed pool is taken up again; more than `less_than`.
-    pub back_at: f64,
-    pub way: Way,
-    /// The name of the pool that follows.
-    pub next: Option<String>,
+    /// The open fraction below which requests go to the fallback pool.
+    pub fallback_below: f64,
+    /// The open fraction at which a closed pool recovers; at least `fallback_below`.
+    pub recover_at: f64,
+    pub fallback_mode: FallbackMode,
+    /// The name of the fallback pool.
+    pub fallback: Option<String>,
 }
 
-/// A server as the list shows it.
+/// A server of the service list.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct PoolServer {
     pub server: ServerId,
     pub name: String,
     pub zone: ZoneId,
-    pub kind: MachineTypeId,
+    pub machine_type: MachineTypeId,
     pub condition: Condition,
-    /// The part of its capacity that it surely has.
+    /// The fraction of its capacity that it can carry for sure while it warms up, from 0 to 1.
     pub warmth: f64,
 }
 
-/// What is wrong with a pool: its name, and why.
+/// An error in a pool's configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PoolFault {
+pub struct PoolError {
+    /// The pool's name.
     pub pool: String,
     pub found: String,
     pub expected: &'static str,
@@ -70,19 +72,23 @@
 
 struct State {
     pool: Pool,
-    next: Option<usize>,
+    /// The index of the fallback pool.
+    fallback: Option<usize>,
+    /// Its healthy servers.
     open: BTreeSet<ServerId>,
-    /// The part that is open.
-    part: f64,
-    /// Sizes lately, with when they were seen.
-    sizes: VecDeque<(Micros, usize)>,
-    /// Closed, and since when it has been open enough.
+    /// The fraction of it that is open, by warmth.
+    open_fraction: f64,
+    /// Its sizes within [`SIZE_MEMORY`] with the times at which they were seen, without those that a later one exceeds.
+    recent_sizes: VecDeque<(Micros, usize)>,
+    /// Whether too little of it is open, or too recently was.
     closed: bool,
-    enough_since: Option<Micros>,
-    /// The part of its tickets that it gets, and when that was worked out.
-    gets: f64,
-    at: Micros,
-    switches: usize,
+    /// Since when enough of it has been open to recover.
+    recovering_since: Option<Micros>,
+    /// The fraction of its requests that it gets, as of `updated_at`.
+    traffic_fraction: f64,
+    updated_at: Micros,
+    /// How often it has closed or recovered.
+    transitions: usize,
 }
 
 /// All pools.
@@ -91,148 +97,177 @@
 }
 
 impl Pools {
-    /// Checks pools and their ways down; reports all faults together. All are open until a list says otherwise.
-    pub fn read(pools: Vec<Pool>) -> Result<Pools, Vec<PoolFault>> {
-        let numbers: BTreeMap<&str, usize> =
-            pools.iter().enumerate().map(|(n, pool)| (pool.name.as_str(), n)).collect();
-        let next = |pool: &Pool| pool.next.as_deref().and_then(|name| numbers.get(name)).copied();
-        let mut faults = Vec::new();
-        for (number, pool) in pools.iter().enumerate() {
-            let mut fault =
-                |found: String, expected| faults.push(PoolFault { pool: pool.name.clone(), found, expected });
-            if numbers.get(pool.name.as_str()) != Some(&number) {
-                fault("its name twice".to_owned(), "each name once");
+    /// Checks the configuration of pools and reports all errors together. All pools are open until the first list.
+    pub fn new(pools: Vec<Pool>) -> Result<Pools, Vec<PoolError>> {
+        let indices: BTreeMap<&str, usize> =
+            pools.iter().enumerate().map(|(index, pool)| (pool.name.as_str(), index)).collect();
+        let fallback = |pool: &Pool| pool.fallback.as_deref().and_then(|name| indices.get(name)).copied();
+        let mut errors = Vec::new();
+        for (index, pool) in pools.iter().enumerate() {
+            let mut report =
+                |found: String, expected| errors.push(PoolError { pool: pool.name.clone(), found, expected });
+            if indices.get(pool.name.as_str()) != Some(&index) {
+                report("its name twice".to_owned(), "each name once");
             }
-            if let (Some(name), None) = (&pool.next, next(pool)) {
-                fault(format!("next {name:?}"), "the name of a pool");
+            if let (Some(name), None) = (&pool.fallback, fallback(pool)) {
+                report(format!("fallback {name:?}"), "the name of a pool");
             }
-            if !(0.0..=1.0).contains(&pool.less_than) || !(pool.less_than..=1.0).contains(&pool.back_at) {
-                fault(
-                    format!("less_than {} and back_at {}", pool.less_than, pool.back_at),
-                    "parts of 1, back_at the larger",
+            let (fallback_below, recover_at) = (pool.fallback_below, pool.recover_at);
+            if !(0.0..=1.0).contains(&fallback_below) || !(fallback_below..=1.0).contains(&recover_at) {
+                report(
+                    format!("fallback_below {fallback_below} and recover_at {recover_at}"),
+                    "fractions of 1, recover_at the larger",
                 );
             }
-            // A way down that comes by itself again never ends.
-            let mut at = next(pool);
-            for _ in 0..pools.len() {
-                if at == Some(number) {
-                    fault("a way down that leads back to it".to_owned(), "ways down that end");
-                    break;
-                }
-                at = at.and_then(|at| next(&pools[at]));
+            if leads_back(index, fallback(pool), |next| fallback(&pools[next]), pools.len()) {
+                report("fallbacks that lead back to it".to_owned(), "fallbacks that end");
             }
         }
-        if !faults.is_empty() {
-            return Err(faults);
+        if !errors.is_empty() {
+            return Err(errors);
         }
-        let nexts: Vec<_> = pools.iter().map(next).collect();
-        let state = |(pool, next)| State {
-            pool,
-            next,
-            open: BTreeSet::new(),
-            part: 1.0,
-            sizes: VecDeque::new(),
-            closed: false,
-            enough_since: None,
-            gets: 1.0,
-            at: 0,
-            switches: 0,
-        };
-        Ok(Pools { states: pools.into_iter().zip(nexts).map(state).collect() })
+        let fallbacks: Vec<_> = pools.iter().map(fallback).collect();
+        let states = pools.into_iter().zip(fallbacks).map(|(pool, fallback)| State::new(pool, fallback));
+        Ok(Pools { states: states.collect() })
     }
 
-    /// The number of a pool.
-    pub fn number(&self, name: &str) -> Option<usize> {
+    /// The index of a pool.
+    pub fn index_of(&self, name: &str) -> Option<usize> {
         self.states.iter().position(|state| state.pool.name == name)
     }
 
-    /// How often a pool has closed or been taken up again.
-    pub fn switches(&self, pool: usize) -> usize {
-        self.states.get(pool).map_or(0, |state| state.switches)
+    /// How often a pool has closed or recovered.
+    pub fn transition_count(&self, pool: usize) -> usize {
+        self.states.get(pool).map_or(0, |state| state.transitions)
     }
 
-    /// The whole list as it stands now; also told now and then while servers warm up.
-    pub fn listed(&mut self, now: Micros, members: &[Member]) {
-        self.states.iter_mut().for_each(|state| state.listed(now, members));
+    /// Takes over the whole server list; to be called at each change, and now and then while servers warm up.
+    pub fn update_servers(&mut self, now: Micros, servers: &[PoolServer]) {
+        self.states.iter_mut().for_each(|state| state.update_servers(now, servers));
     }
 
-    /// The pool that a ticket of this pool goes to, by a draw from 0 up to 1; `None` where nothing of it, or of any that
-    /// follows, is open. Of a way down the last pool that has anything open takes what is left.
-    pub fn choose(&mut self, now: Micros, pool: usize, draw: f64) -> Option<usize> {
-        let (mut at, mut last) = (Some(pool), None);
-        while let Some(number) = at {
-            let state = self.states.get_mut(number)?;
+    /// The pool that serves a request of this pool, by a random draw from 0 up to 1: the pool itself or one of its
+    /// fallbacks, of which the last with an open server takes what is left. `None` if no server of any of them is open.
+    pub fn select(&mut self, now: Micros, pool: usize, draw: f64) -> Option<usize> {
+        let (mut candidate, mut last_open) = (Some(pool), None);
+        while let Some(index) = candidate {
+            let state = self.states.get_mut(index)?;
             if !state.open.is_empty() {
-                last = Some(number);
-                // The same draw serves on the whole way, so that a ticket's pool does not change by drawing again.
-                if draw < state.gets(now) {
-                    return Some(number);
+                last_open = Some(index);
+                // The same draw is used for all pools, so that a request's pool does not depend on further draws.
+                if draw < state.update_traffic_fraction(now) {
+                    return Some(index);
                 }
             }
-            at = state.next;
+            candidate = state.fallback;
         }
-        last
+        last_open
     }
 
     /// Whether a server is an open one of a pool.
-    pub fn has(&self, pool: usize, server: ServerId) -> bool {
+    pub fn has_open(&self, pool: usize, server: ServerId) -> bool {
         self.states.get(pool).is_some_and(|state| state.open.contains(&server))
     }
 }
 
+/// Whether the fallbacks of a pool, the first of which is given, lead back to it. A cycle that does not contain the pool
+/// itself is reported for the pools in it.
+fn leads_back(
+    pool: usize, first: Option<usize>, fallback: impl Fn(usize) -> Option<usize>, pool_count: usize,
+) -> bool {
+    let mut next = first;
+    for _ in 0..pool_count {
+        if next == Some(pool) {
+            return true;
+        }
+        next = next.and_then(&fallback);
+    }
+    false
+}
+
 impl State {
-    fn takes(&self, member: &Member) -> bool {
-        let any = |empty: bool, has: bool| empty || has;
-        any(self.pool.zones.is_empty(), self.pool.zones.contains(&member.zone))
-            && any(self.pool.kinds.is_empty(), self.pool.kinds.contains(&member.kind))
-            && member.name.starts_with(&self.pool.prefix)
+    fn new(pool: Pool, fallback: Option<usize>) -> Self {
+        State {
+            pool,
+            fallback,
+            open: BTreeSet::new(),
+            open_fraction: 1.0,
+            recent_sizes: VecDeque::new(),
+            closed: false,
+            recovering_since: None,
+            traffic_fraction: 1.0,
+            updated_at: 0,
+            transitions: 0,
+        }
     }
 
-    fn listed(&mut self, now: Micros, members: &[Member]) {
-        // What it gets is worked out up to now by what was open until now.
-        if self.at > 0 {
-            self.gets(now);
+    /// Whether a server belongs to the pool.
+    fn includes(&self, server: &PoolServer) -> bool {
+        let Pool { zones, machine_types, prefix, .. } = &self.pool;
+        (zones.is_empty() || zones.contains(&server.zone))
+            && (machine_types.is_empty() || machine_types.contains(&server.machine_type))
+            && server.name.starts_with(prefix)
+    }
+
+    fn update_servers(&mut self, now: Micros, servers: &[PoolServer]) {
+        // The traffic fraction up to now depends on the servers that were open until now.
+        if self.updated_at > 0 {
+            self.update_traffic_fraction(now);
         }
-        let own: Vec<&Member> = members.iter().filter(|member| self.takes(member)).collect();
-        let healthy = || own.iter().filter(|member| member.condition == Condition::Healthy);
-        let size = own.iter().filter(|member| member.condition != Condition::Gone).count();
-        self.open = healthy().map(|member| member.server).collect();
-        self.sizes.push_back((now, size));
-        // Only sizes that no later one exceeds matter; the newest of those too old is what held until then.
-        while self.sizes.len() > 1 && self.sizes[self.sizes.len() - 2].1 <= size {
-            let before = self.sizes.len() - 2;
-            self.sizes.remove(before);
+        let own: Vec<&PoolServer> = servers.iter().filter(|server| self.includes(server)).collect();
+        let healthy = || own.iter().filter(|server| server.condition == Condition::Healthy);
+        let size = own.iter().filter(|server| server.condition != Condition::Gone).count();
+        self.open = healthy().map(|server| server.server).collect();
+        self.remember_size(now, size);
+        let largest = self.recent_sizes.iter().map(|(_, size)| *size).max().unwrap_or(0).max(1);
+        self.open_fraction = healthy().map(|server| server.warmth).sum::<f64>() / largest as f64;
+        self.recovering_since =
+            (self.open_fraction >= self.pool.recover_at).then(|| self.recovering_since.unwrap_or(now));
+        let least_open = match self.pool.fallback_mode {
+            FallbackMode::OnlyWhenEmpty => f64::MIN_POSITIVE,
+            FallbackMode::AllAtOnce | FallbackMode::Proportional => self.pool.fallback_below,
+        };
+        if !self.closed && (self.open_fraction < least_open || self.open.is_empty()) {
+            self.closed = true;
+            self.transitions += 1;
         }
-        while self.sizes.len() > 1 && now - self.sizes[0].0 > REMEMBERED {
-            self.sizes.pop_front();
+    }
+
+    fn remember_size(&mut self, now: Micros, size: usize) {
+        let sizes = &mut self.recent_sizes;
+        sizes.push_back((now, size));
+        // For the maximum, sizes that a later one reaches or exceeds do not matter.
+        while sizes.len() > 1 && sizes[sizes.len() - 2].1 <= size {
+            let before_last = sizes.len() - 2;
+            sizes.remove(before_last);
         }
-        let most = self.sizes.iter().map(|(_, size)| *size).max().unwrap_or(0).max(1);
-        self.part = healthy().map(|member| member.warmth).sum::<f64>() / most as f64;
-        self.enough_since = (self.part >= self.pool.back_at).then(|| self.enough_since.unwrap_or(now));
-        let floor = if self.pool.way == Way::Last { f64::MIN_POSITIVE } else { self.pool.less_than };
-        if !self.closed && (self.part < floor || self.open.is_empty()) {
-            self.closed = true;
-            self.switches += 1;
+        // The newest size is kept however old it is, since it held until now.
+        while sizes.len() > 1 && now - sizes[0].0 > SIZE_MEMORY {
+            sizes.pop_front();
         }
     }
 
-    /// The part of its tickets that the pool gets now. It falls at once and rises slowly.
-    fn gets(&mut self, now: Micros) -> f64 {
-        if self.closed && self.enough_since.is_some_and(|since| now - since >= STEADY) {
+    /// Brings the fraction of its requests that the pool gets up to date, and returns it. It falls at once and rises
+    /// slowly.
+    fn update_traffic_fraction(&mut self, now: Micros) -> f64 {
+        if self.closed && self.recovering_since.is_some_and(|since| now - since >= RECOVERY_TIME) {
             self.closed = false;
-            self.switches += 1;
+            self.transitions += 1;
         }
-        let carries = match (self.pool.way, self.closed) {
+        let target = match (self.pool.fallback_mode, self.closed) {
             (_, _) if self.open.is_empty() => 0.0,
             (_, false) => 1.0,
-            (Way::Last, true) => 1.0,
-            (Way::AtOnce, true) => 0.0,
-            (Way::Share, true) => (self.part / self.pool.less_than.max(f64::MIN_POSITIVE)).min(1.0),
+            (FallbackMode::OnlyWhenEmpty, true) => 1.0,
+            (FallbackMode::AllAtOnce, true) => 0.0,
+            (FallbackMode::Proportional, true) => {
+                (self.open_fraction / self.pool.fallback_below.max(f64::MIN_POSITIVE)).min(1.0)
+            }
         };
-        let rise = RISE * (now - self.at) as f64 / SECOND as f64;
-        // The first list finds a pool as open as it is.
-        self.gets = if self.at == 0 { carries } else { carries.min(self.gets + rise) };
-        self.at = now;
-        self.gets
+        let rise = MAX_RISE_PER_SECOND * (now - self.updated_at) as f64 / SECOND as f64;
+        // Before the first update there is no earlier fraction to rise from.
+        self.traffic_fraction =
+            if self.updated_at == 0 { target } else { target.min(self.traffic_fraction + rise) };
+        self.updated_at = now;
+        self.traffic_fraction
     }
 }
