--- a/crates/garnetdoor-adapter/src/line.rs
+++ b/crates/garnetdoor-adapter/src/line.rs
@@ -1,11 +1,11 @@
-//! One line of the wire, taken apart field by field.
+//! Parsing of the lines of input, field by field.
 
 use garnetdoor::host::{Micros, parse_seconds};
 
-/// What is wrong with a line, in plain words.
-pub struct Bad(pub String);
+/// What is wrong with a line, for people.
+pub struct ParseError(pub String);
 
-/// The messages that speak to an instance that runs.
+/// The messages about events at a running instance.
 pub const EVENTS: [&str; 11] = [
     "PEERS_KNOWN",
     "CALL",
@@ -20,78 +20,89 @@
     "RETURNED",
 ];
 
+/// A line: the name of its message, and the fields that have not been read yet, separated by tabs.
 pub struct Line<'a> {
     pub name: &'a str,
-    parts: std::str::Split<'a, char>,
+    fields: std::str::Split<'a, char>,
 }
 
 impl<'a> Line<'a> {
     pub fn new(text: &'a str) -> Self {
-        let mut parts = text.split('\t');
-        Line { name: parts.next().unwrap_or(""), parts }
+        let mut fields = text.split('\t');
+        Line { name: fields.next().unwrap_or(""), fields }
     }
 
-    pub fn bad(&self, field: &str, what: &str) -> Bad {
-        Bad(format!("{}: field {field}: {what}", if self.name.is_empty() { "(empty)" } else { self.name }))
+    /// An error about a field of this line.
+    pub fn error(&self, field: &str, problem: &str) -> ParseError {
+        let name = if self.name.is_empty() { "(empty)" } else { self.name };
+        ParseError(format!("{name}: field {field}: {problem}"))
     }
 
-    /// The next part as it stands, if the line has one more.
-    pub fn rest(&mut self) -> Option<&'a str> {
-        self.parts.next()
+    /// The next field as it is, if the line has one more.
+    pub fn next_field(&mut self) -> Option<&'a str> {
+        self.fields.next()
     }
 
-    /// The next field; `None` where the wire says that it is absent.
-    pub fn optional(&mut self, field: &str) -> Result<Option<&'a str>, Bad> {
-        let part = self.parts.next().ok_or_else(|| self.bad(field, "missing"))?;
+    /// The next field; `None` if it is marked as absent.
+    pub fn optional(&mut self, field: &str) -> Result<Option<&'a str>, ParseError> {
+        let part = self.fields.next().ok_or_else(|| self.error(field, "missing"))?;
         Ok((part != "-").then_some(part))
     }
 
-    pub fn need(&mut self, field: &str) -> Result<&'a str, Bad> {
-        self.optional(field)?.filter(|part| !part.is_empty()).ok_or_else(|| self.bad(field, "absent"))
+    /// The next field, which must not be absent or empty.
+    pub fn required(&mut self, field: &str) -> Result<&'a str, ParseError> {
+        self.optional(field)?.filter(|part| !part.is_empty()).ok_or_else(|| self.error(field, "absent"))
     }
 
-    /// Reads a field with `read`, or `None` where it is absent.
-    pub fn maybe<T>(
-        &mut self, field: &str, read: impl FnOnce(&mut Self, &str) -> Result<T, Bad>,
-    ) -> Result<Option<T>, Bad> {
-        let ahead = self.parts.clone();
+    /// Reads the next field with `read`; `None` if it is marked as absent.
+    pub fn optional_with<T>(
+        &mut self, field: &str, read: impl FnOnce(&mut Self, &str) -> Result<T, ParseError>,
+    ) -> Result<Option<T>, ParseError> {
+        let before = self.fields.clone();
         if self.optional(field)?.is_none() {
             return Ok(None);
         }
-        self.parts = ahead;
+        self.fields = before;
         read(self, field).map(Some)
     }
 
-    fn read<T>(&mut self, field: &str, what: &str, read: impl Fn(&str) -> Option<T>) -> Result<T, Bad> {
-        let part = self.need(field)?;
-        read(part).ok_or_else(|| self.bad(field, &format!("'{part}' is not {what}")))
+    fn read<T>(
+        &mut self, field: &str, expected: &str, read: impl Fn(&str) -> Option<T>,
+    ) -> Result<T, ParseError> {
+        let part = self.required(field)?;
+        read(part).ok_or_else(|| self.error(field, &format!("'{part}' is not {expected}")))
     }
 
-    pub fn whole(&mut self, field: &str) -> Result<u64, Bad> {
+    /// The next field as a whole number.
+    pub fn whole(&mut self, field: &str) -> Result<u64, ParseError> {
         self.read(field, "a whole number", |part| part.parse().ok())
     }
 
-    /// A whole number that may be written with a fraction of nothing.
-    pub fn count(&mut self, field: &str) -> Result<u64, Bad> {
+    /// The next field as a whole number, which may be written with a fraction of zero.
+    pub fn count(&mut self, field: &str) -> Result<u64, ParseError> {
         self.read(field, "a whole number", |part| {
             let number: f64 = part.parse().ok()?;
             (number >= 0.0 && number.fract() == 0.0 && number < 1e15).then_some(number as u64)
         })
     }
 
-    pub fn number(&mut self, field: &str) -> Result<f64, Bad> {
+    /// The next field as a finite number.
+    pub fn number(&mut self, field: &str) -> Result<f64, ParseError> {
         self.read(field, "a number", |part| part.parse().ok().filter(|number: &f64| number.is_finite()))
     }
 
-    pub fn micros(&mut self, field: &str) -> Result<Micros, Bad> {
+    /// The next field, a time in seconds.
+    pub fn micros(&mut self, field: &str) -> Result<Micros, ParseError> {
         self.read(field, "a time in seconds", parse_seconds)
     }
 
-    pub fn hex(&mut self, field: &str) -> Result<u64, Bad> {
+    /// The next field, a hexadecimal number.
+    pub fn hex(&mut self, field: &str) -> Result<u64, ParseError> {
         self.read(field, "16 hex digits", |part| u64::from_str_radix(part, 16).ok())
     }
 
-    pub fn flag(&mut self, field: &str) -> Result<bool, Bad> {
+    /// The next field, true or false as 1 or 0.
+    pub fn flag(&mut self, field: &str) -> Result<bool, ParseError> {
         self.read(field, "1 or 0", |part| match part {
             "1" => Some(true),
             "0" => Some(false),
@@ -99,15 +110,15 @@
         })
     }
 
-    /// A load report: figures set apart by commas, any of which may be absent.
-    pub fn row(&mut self, field: &str) -> Result<Vec<Option<f64>>, Bad> {
+    /// The next field, a load report: numbers separated by commas, any of which may be absent.
+    pub fn load_report(&mut self, field: &str) -> Result<Vec<Option<f64>>, ParseError> {
         let Some(part) = self.optional(field)?.filter(|part| !part.is_empty()) else {
             return Ok(Vec::new());
         };
-        let figure = |item: &str| match item {
+        let number = |item: &str| match item {
             "-" | "" => Ok(None),
-            _ => item.parse().map(Some).map_err(|_| self.bad(field, &format!("'{item}' is not a number"))),
+            _ => item.parse().map(Some).map_err(|_| self.error(field, &format!("'{item}' is not a number"))),
         };
-        part.split(',').map(figure).collect()
+        part.split(',').map(number).collect()
     }
 }
--- a/crates/garnetdoor-adapter/src/main.rs
+++ b/crates/garnetdoor-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! garnetdoor on the bench's wire: reads batches of events on standard input, calls the decisions, and
-//! writes what they ask for on standard output. It decides nothing.
+//! Runs balancers for a simulator: reads batches of events from standard input, passes them to the balancers
+//! and writes their replies to standard output. Nothing here decides anything.
 
 mod host;
 mod line;
@@ -20,22 +20,35 @@
 };
 use garnetdoor::names::value_of_name;
 
-use host::{Handle, Listed};
-use line::{Bad, Line};
+use host::{InstanceHost, PageEntry};
+use line::{Line, ParseError};
 
-/// One gateway; `None` in place of its decisions once they have panicked.
+/// One gateway.
 struct Instance {
-    handle: Handle,
-    decisions: Option<Balancer<Handle>>,
+    host: InstanceHost,
+    /// `None` once it has panicked.
+    balancer: Option<Balancer<InstanceHost>>,
 }
 
+/// Pages of the server list by their slots.
+type Pages = BTreeMap<u64, Rc<Vec<PageEntry>>>;
+
+/// A page that is being read.
+struct OpenPage {
+    slot: u64,
+    entries: Vec<PageEntry>,
+    /// Number of entries that are still to come.
+    missing: usize,
+}
+
+/// All instances and what is known between two lines.
 #[derive(Default)]
 struct Adapter {
     now: Micros,
     instances: BTreeMap<u64, Instance>,
-    pages: BTreeMap<u64, Rc<Vec<Listed>>>,
-    /// The page that is being read and the entries that it still lacks.
-    filling: Option<(u64, Vec<Listed>, usize)>,
+    pages: Pages,
+    /// The page that is being read.
+    open_page: Option<OpenPage>,
     in_batch: bool,
     reply: String,
 }
@@ -49,22 +62,22 @@
     for number in 1_u64.. {
         bytes.clear();
         match input.read_until(b'\n', &mut bytes) {
-            Err(error) => return refuse(number, &error.to_string()),
-            Ok(0) if adapter.in_batch => return refuse(number, "field YOUR_TURN: input ends inside a batch"),
+            Err(error) => return fail(number, &error.to_string()),
+            Ok(0) if adapter.in_batch => return fail(number, "field YOUR_TURN: input ends inside a batch"),
             Ok(0) => return ExitCode::SUCCESS,
             Ok(_) => {}
         }
         let Ok(text) = std::str::from_utf8(&bytes) else {
-            return refuse(number, "field message: not UTF-8");
+            return fail(number, "field message: not UTF-8");
         };
         let text = text.trim_end_matches(['\n', '\r']);
-        match adapter.take(text) {
-            Err(Bad(what)) => return refuse(number, &what),
+        match adapter.process(text) {
+            Err(ParseError(problem)) => return fail(number, &problem),
             Ok(false) => {}
             Ok(true) => {
                 let reply = std::mem::take(&mut adapter.reply);
                 if output.write_all(reply.as_bytes()).and_then(|()| output.flush()).is_err() {
-                    return refuse(number, "the reply could not be written");
+                    return fail(number, "the reply could not be written");
                 }
             }
         }
@@ -72,21 +85,23 @@
     ExitCode::SUCCESS
 }
 
-fn refuse(number: u64, what: &str) -> ExitCode {
-    eprintln!("garnetdoor-adapter: line {number}: {what}");
+/// Reports an error in a line of input.
+fn fail(number: u64, problem: &str) -> ExitCode {
+    eprintln!("garnetdoor-adapter: line {number}: {problem}");
     ExitCode::FAILURE
 }
 
 impl Adapter {
-    /// Takes one line of input; true when it ends a batch and the reply is ready.
-    fn take(&mut self, text: &str) -> Result<bool, Bad> {
+    /// Processes one line of input; true if it ends a batch, so that the reply is complete.
+    fn process(&mut self, text: &str) -> Result<bool, ParseError> {
         let mut line = Line::new(text);
-        if let Some((slot, mut entries, missing)) = self.filling.take() {
+        if let Some(mut page) = self.open_page.take() {
             if line.name != "ENTRY" {
-                return Err(line.bad("items", "a page holds fewer entries than it says"));
+                return Err(line.error("items", "the page has fewer entries than announced"));
             }
-            entries.push(entry(&mut line)?);
-            self.fill(slot, entries, missing - 1);
+            page.entries.push(page_entry(&mut line)?);
+            page.missing -= 1;
+            self.store_page(page);
             return Ok(false);
         }
         match line.name {
@@ -94,7 +109,7 @@
                 self.now = line.micros("now")?;
                 self.in_batch = true;
             }
-            _ if !self.in_batch => return Err(line.bad("message", "stands outside a batch")),
+            _ if !self.in_batch => return Err(line.error("message", "not in a batch")),
             "YOUR_TURN" => {
                 self.in_batch = false;
                 self.reply.push_str("EOR\n");
@@ -102,11 +117,11 @@
             }
             "PAGE" => {
                 let (slot, items) = (line.whole("slot")?, line.whole("items")?);
-                self.fill(slot, Vec::new(), items as usize);
+                self.store_page(OpenPage { slot, entries: Vec::new(), missing: items as usize });
             }
             "CONFIGURE" => self.start(&mut line)?,
             "CRASH_NOW" => {
-                let id = self.known(&mut line)?;
+                let id = self.known_instance(&mut line)?;
                 self.instances.remove(&id);
             }
             _ => self.event(&mut line)?,
@@ -114,173 +129,183 @@
         Ok(false)
     }
 
-    fn fill(&mut self, slot: u64, entries: Vec<Listed>, missing: usize) {
-        if missing == 0 {
-            self.pages.insert(slot, Rc::new(entries));
+    /// Stores a page if it is complete, else keeps it open.
+    fn store_page(&mut self, page: OpenPage) {
+        if page.missing == 0 {
+            self.pages.insert(page.slot, Rc::new(page.entries));
         } else {
-            self.filling = Some((slot, entries, missing));
+            self.open_page = Some(page);
         }
     }
 
-    fn known(&self, line: &mut Line) -> Result<u64, Bad> {
+    /// Reads the number of a running instance.
+    fn known_instance(&self, line: &mut Line) -> Result<u64, ParseError> {
         let id = line.whole("i")?;
-        if self.instances.contains_key(&id) { Ok(id) } else { Err(line.bad("i", "no such instance")) }
+        if self.instances.contains_key(&id) { Ok(id) } else { Err(line.error("i", "no such instance")) }
     }
 
-    fn start(&mut self, line: &mut Line) -> Result<(), Bad> {
+    /// Starts an instance, in place of an older one of its number.
+    fn start(&mut self, line: &mut Line) -> Result<(), ParseError> {
         let (id, seed) = (line.whole("i")?, line.whole("salt")?);
         let mut pairs = Vec::new();
-        while let Some(pair) = line.rest() {
+        while let Some(pair) = line.next_field() {
             let split = pair.split_once('=');
-            pairs.push(split.ok_or_else(|| line.bad("settings", &format!("'{pair}' is no path=value")))?);
+            pairs.push(split.ok_or_else(|| line.error("settings", &format!("'{pair}' is not path=value")))?);
         }
         let settings: Settings = pairs.into_iter().collect();
-        let handle = Handle::new(id, self.now);
-        let mine = handle.clone();
-        let made = catch_unwind(AssertUnwindSafe(move || Balancer::start(mine, seed, settings)));
-        let made = made.map_err(|panic| handle.exception(&panic_text(&*panic))).ok();
-        handle.drain(&mut self.reply);
-        self.instances.insert(id, Instance { handle, decisions: made });
+        let host = InstanceHost::new(id, self.now);
+        let own_host = host.clone();
+        let started = catch_unwind(AssertUnwindSafe(move || Balancer::start(own_host, seed, settings)));
+        let balancer = started.map_err(|panic| host.exception(&panic_text(&*panic))).ok();
+        host.move_lines(&mut self.reply);
+        self.instances.insert(id, Instance { host, balancer });
         Ok(())
     }
 
-    fn event(&mut self, line: &mut Line) -> Result<(), Bad> {
+    /// Passes an event to the balancer of its instance, which is dropped if it panics.
+    fn event(&mut self, line: &mut Line) -> Result<(), ParseError> {
         if !line::EVENTS.contains(&line.name) {
-            return Err(line.bad("message", "unknown"));
+            return Err(line.error("message", "unknown"));
         }
-        let id = self.known(line)?;
+        let id = self.known_instance(line)?;
         let instance = self.instances.get_mut(&id).expect("looked up above");
-        let handle = instance.handle.clone();
-        handle.set_now(self.now);
-        let call = decode(line, &handle, &self.pages)?;
-        if let Some(decisions) = &mut instance.decisions
-            && let Err(panic) = catch_unwind(AssertUnwindSafe(|| call(decisions)))
+        let host = instance.host.clone();
+        host.set_now(self.now);
+        let call = decode(line, &host, &self.pages)?;
+        if let Some(balancer) = &mut instance.balancer
+            && let Err(panic) = catch_unwind(AssertUnwindSafe(|| call(balancer)))
         {
-            handle.exception(&panic_text(&*panic));
-            instance.decisions = None;
+            host.exception(&panic_text(&*panic));
+            instance.balancer = None;
         }
-        handle.drain(&mut self.reply);
+        host.move_lines(&mut self.reply);
         Ok(())
     }
 }
 
+/// The message of a panic.
 fn panic_text(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("the decisions panicked").to_owned()
 }
 
-type Call = Box<dyn FnOnce(&mut Balancer<Handle>)>;
+/// The call of the balancer that an event stands for.
+type Call = Box<dyn FnOnce(&mut Balancer<InstanceHost>)>;
 
-/// Reads one event whole, then hands back the call that it stands for.
-fn decode(line: &mut Line, handle: &Handle, pages: &BTreeMap<u64, Rc<Vec<Listed>>>) -> Result<Call, Bad> {
+/// Reads an event to its end and returns its call, so that a bad line changes nothing.
+fn decode(line: &mut Line, host: &InstanceHost, pages: &Pages) -> Result<Call, ParseError> {
     Ok(match line.name {
-        "PEERS_KNOWN" => list(line, handle, pages)?,
+        "PEERS_KNOWN" => server_list(line, host, pages)?,
         "CALL" => {
-            let ticket = handle.ticket(line.need("op_id")?);
+            let request = host.request(line.required("op_id")?);
             let arrival = Arrival {
                 profile: ProfileId(line.whole("qos")? as usize),
-                cost: line.maybe("effort", |line, field| line.micros(field))?,
-                key: line.maybe("entity", |line, field| line.hex(field))?.map(KeyId),
+                cost: line.optional_with("effort", |line, field| line.micros(field))?,
+                key: line.optional_with("entity", |line, field| line.hex(field))?.map(KeyId),
                 time_left: line.micros("left")?,
                 writes: line.flag("write")?,
                 is_retry: line.flag("retry")?,
                 party: line
-                    .maybe("user_group", |line, field| line.whole(field))?
+                    .optional_with("user_group", |line, field| line.whole(field))?
                     .map(|n| PartyId(n as usize)),
             };
-            Box::new(move |gate| gate.request_arrived(ticket, arrival))
+            Box::new(move |balancer| balancer.request_arrived(request, arrival))
         }
         "STARTED" => {
-            let ticket = handle.ticket(line.need("op_id")?);
-            let trip = AttemptNo(line.whole("hop")? as u32);
-            let (_server, _took) = (line.need("instance")?, line.micros("latency")?);
-            Box::new(move |gate| gate.response_started(ticket, trip))
+            let request = host.request(line.required("op_id")?);
+            let attempt = AttemptNo(line.whole("hop")? as u32);
+            let (_server, _latency) = (line.required("instance")?, line.micros("latency")?);
+            Box::new(move |balancer| balancer.response_started(request, attempt))
         }
         "FINISHED" => {
-            let ticket = handle.ticket(line.need("op_id")?);
-            let trip = AttemptNo(line.whole("hop")? as u32);
-            let took = line.micros("latency")?;
-            let ending = ending(line)?;
-            let _server = line.need("instance")?;
-            let over = line.flag("done_flag")?;
-            let load = line.row("feedback")?;
-            Box::new(move |gate| gate.attempt_ended(ticket, trip, took, ending, over, &load))
+            let request = host.request(line.required("op_id")?);
+            let attempt = AttemptNo(line.whole("hop")? as u32);
+            let latency = line.micros("latency")?;
+            let outcome = outcome(line)?;
+            let _server = line.required("instance")?;
+            let done = line.flag("done_flag")?;
+            let load = line.load_report("feedback")?;
+            Box::new(move |balancer| balancer.attempt_ended(request, attempt, latency, outcome, done, &load))
         }
         "WITHDRAWN" => {
-            let ticket = handle.ticket(line.need("op_id")?);
-            Box::new(move |gate| gate.client_disconnected(ticket))
+            let request = host.request(line.required("op_id")?);
+            Box::new(move |balancer| balancer.client_disconnected(request))
         }
         "TICK_DUE" => {
-            let wake = host::wake(line.whole("handle")?);
-            Box::new(move |gate| gate.timer_fired(wake))
+            let timer = host::timer_of(line.whole("handle")?);
+            Box::new(move |balancer| balancer.timer_fired(timer))
         }
         "CHECKED" => {
-            let server = handle.server(line.need("instance")?);
-            let (ending, took, load) = (ending(line)?, line.micros("latency")?, line.row("feedback")?);
-            Box::new(move |gate| gate.probe_ended(server, ending, took, &load))
+            let server = host.server(line.required("instance")?);
+            let (outcome, latency, load) =
+                (outcome(line)?, line.micros("latency")?, line.load_report("feedback")?);
+            Box::new(move |balancer| balancer.probe_ended(server, outcome, latency, &load))
         }
         "MEMO" => {
             let from = GatewayId(line.whole("origin_peer")? as usize);
             let bytes = match line.optional("data")? {
                 None => Vec::new(),
-                Some(text) => BASE64.decode(text).map_err(|_| line.bad("data", "not base64"))?,
+                Some(text) => BASE64.decode(text).map_err(|_| line.error("data", "not base64"))?,
             };
-            Box::new(move |gate| gate.peer_message_received(from, &bytes))
+            Box::new(move |balancer| balancer.peer_message_received(from, &bytes))
         }
-        "TRIAL_NEWS" => news(line)?,
+        "TRIAL_NEWS" => rollout_event(line)?,
         "SCORECARD" => {
             let attempts = line.whole("samples")?;
-            let mean_latency = line.maybe("latency", |line, field| line.micros(field))?;
+            let mean_latency = line.optional_with("latency", |line, field| line.micros(field))?;
             let profile = ProfileId(line.whole("qos")? as usize);
             let age = line.micros("since")?;
             let build = BuildNo(line.whole("build_no")? as u32);
             let tally = Tally { build, profile, attempts, failed: line.whole("lost")?, mean_latency, age };
-            Box::new(move |gate| gate.tally_received(tally))
+            Box::new(move |balancer| balancer.tally_received(tally))
         }
         "RETURNED" => {
-            let server = handle.server(line.need("instance")?);
+            let server = host.server(line.required("instance")?);
             let (profile, age) = (ProfileId(line.whole("qos")? as usize), line.micros("since")?);
-            Box::new(move |gate| gate.answer_disputed(server, profile, age))
+            Box::new(move |balancer| balancer.answer_disputed(server, profile, age))
         }
-        _ => return Err(line.bad("message", "unknown")),
+        _ => return Err(line.error("message", "unknown")),
     })
 }
 
-fn list(line: &mut Line, handle: &Handle, pages: &BTreeMap<u64, Rc<Vec<Listed>>>) -> Result<Call, Bad> {
-    let scope = line.need("scope")?;
+/// Reads an event of the server list.
+fn server_list(line: &mut Line, host: &InstanceHost, pages: &Pages) -> Result<Call, ParseError> {
+    let scope = line.required("scope")?;
     if scope == "FAILED" {
-        return Ok(Box::new(|gate| gate.server_list_failed()));
+        return Ok(Box::new(|balancer| balancer.server_list_failed()));
     }
     if !["INCREMENTAL", "FULL", "SAVED"].contains(&scope) {
-        return Err(line.bad("scope", "not INCREMENTAL, FULL, SAVED or FAILED"));
+        return Err(line.error("scope", "not INCREMENTAL, FULL, SAVED or FAILED"));
     }
     let slot = line.whole("slot")?;
-    let page = pages.get(&slot).ok_or_else(|| line.bad("slot", "no such page"))?;
-    let entries: Vec<_> = page.iter().map(|entry| entry.resolve(handle)).collect();
-    let _version = line.need("gen")?;
-    // A saved list is a whole one, if an old one.
+    let page = pages.get(&slot).ok_or_else(|| line.error("slot", "no such page"))?;
+    let entries: Vec<_> = page.iter().map(|entry| entry.resolve(host)).collect();
+    let _version = line.required("gen")?;
+    // A saved list is complete, only older.
     Ok(match scope {
-        "INCREMENTAL" => Box::new(move |gate| gate.server_list_updated(entries)),
-        _ => Box::new(move |gate| gate.server_list_replaced(entries)),
+        "INCREMENTAL" => Box::new(move |balancer| balancer.server_list_updated(entries)),
+        _ => Box::new(move |balancer| balancer.server_list_replaced(entries)),
     })
 }
 
-fn entry(line: &mut Line) -> Result<Listed, Bad> {
-    let name = line.need("instance")?.to_owned();
+/// Reads an entry of a page.
+fn page_entry(line: &mut Line) -> Result<PageEntry, ParseError> {
+    let name = line.required("instance")?.to_owned();
     let build = BuildNo(line.count("release")? as u32);
     let zone = ZoneId(line.whole("region_part")? as usize);
     let machine_type = MachineTypeId(line.whole("family_type")? as usize);
     let cell = CellId(line.whole("group")?);
     let words = ["healthy", "cordoned", "deregistered"];
-    let condition = value_of_name(Condition::ALL, words, line.need("condition")?);
+    let condition = value_of_name(Condition::ALL, words, line.required("condition")?);
     let condition =
-        condition.ok_or_else(|| line.bad("condition", "not healthy, cordoned or deregistered"))?;
+        condition.ok_or_else(|| line.error("condition", "not healthy, cordoned or deregistered"))?;
     let capacity = line.number("nominal")?;
-    let started = line.maybe("launched", |line, field| line.micros(field))?.filter(|at| *at != 0);
-    Ok(Listed { name, build, zone, machine_type, cell, condition, capacity, started })
+    let started = line.optional_with("launched", |line, field| line.micros(field))?.filter(|at| *at != 0);
+    Ok(PageEntry { name, build, zone, machine_type, cell, condition, capacity, started })
 }
 
-fn ending(line: &mut Line) -> Result<AttemptOutcome, Bad> {
+/// Reads how an attempt or a probe ended.
+fn outcome(line: &mut Line) -> Result<AttemptOutcome, ParseError> {
     Ok(match line.whole("verdict")? {
         0 => AttemptOutcome::Error,
         1 => AttemptOutcome::Succeeded,
@@ -290,47 +315,48 @@
         5 => AttemptOutcome::Reset,
         6 => AttemptOutcome::Cancelled,
         7 => AttemptOutcome::NeverSent,
-        _ => return Err(line.bad("verdict", "not 0 to 7")),
+        _ => return Err(line.error("verdict", "not 0 to 7")),
     })
 }
 
-fn news(line: &mut Line) -> Result<Call, Bad> {
-    let build = line.maybe("build_no", |line, field| line.whole(field))?;
-    let stage = line.maybe("ring", |line, field| line.whole(field))?;
-    let progress = line.maybe("progress", |line, field| line.whole(field))?;
-    let reply = line.whole("code")? == 1;
-    let taken = match line.whole("verdict")? {
+/// Reads an event of the rollout: its state, the answer to a vote, or both.
+fn rollout_event(line: &mut Line) -> Result<Call, ParseError> {
+    let build = line.optional_with("build_no", |line, field| line.whole(field))?;
+    let stage = line.optional_with("ring", |line, field| line.whole(field))?;
+    let progress = line.optional_with("progress", |line, field| line.whole(field))?;
+    let answers_vote = line.whole("code")? == 1;
+    let result = match line.whole("verdict")? {
         1 => VoteResult::Counted,
         7 => VoteResult::Moot,
         2 => VoteResult::Full,
         0 => VoteResult::Error,
         3 => VoteResult::Unknown,
-        _ => return Err(line.bad("verdict", "not 0, 1, 2, 3 or 7")),
+        _ => return Err(line.error("verdict", "not 0, 1, 2, 3 or 7")),
     };
-    let cap = line.maybe("exposure", |line, field| line.number(field))?;
-    let age = line.maybe("since", |line, field| line.micros(field))?;
-    if taken != VoteResult::Counted {
-        // The other fields hold only where the platform answered.
-        return Ok(Box::new(move |gate| {
-            if reply {
-                gate.vote_answered(taken)
+    let cap = line.optional_with("exposure", |line, field| line.number(field))?;
+    let age = line.optional_with("since", |line, field| line.micros(field))?;
+    if result != VoteResult::Counted {
+        // The other fields are valid only if the vote counted.
+        return Ok(Box::new(move |balancer| {
+            if answers_vote {
+                balancer.vote_answered(result)
             }
         }));
     }
-    let need = |what: Option<u64>, field| what.ok_or_else(|| line.bad(field, "absent"));
-    let phase = RolloutPhase::ALL.get(need(progress, "progress")? as usize).copied();
-    let phase = phase.ok_or_else(|| line.bad("progress", "not 0 to 3"))?;
-    let news = RolloutStatus {
-        build: BuildNo(need(build, "build_no")? as u32),
-        stage: StageNo(need(stage, "ring")? as usize),
+    let required = |value: Option<u64>, field| value.ok_or_else(|| line.error(field, "absent"));
+    let phase = RolloutPhase::ALL.get(required(progress, "progress")? as usize).copied();
+    let phase = phase.ok_or_else(|| line.error("progress", "not 0 to 3"))?;
+    let rollout = RolloutStatus {
+        build: BuildNo(required(build, "build_no")? as u32),
+        stage: StageNo(required(stage, "ring")? as usize),
         phase,
-        exposure_cap: cap.ok_or_else(|| line.bad("exposure", "absent"))?,
-        age: age.ok_or_else(|| line.bad("since", "absent"))?,
+        exposure_cap: cap.ok_or_else(|| line.error("exposure", "absent"))?,
+        age: age.ok_or_else(|| line.error("since", "absent"))?,
     };
-    Ok(Box::new(move |gate| {
-        gate.rollout_updated(news);
-        if reply {
-            gate.vote_answered(taken);
+    Ok(Box::new(move |balancer| {
+        balancer.rollout_updated(rollout);
+        if answers_vote {
+            balancer.vote_answered(result);
         }
     }))
 }
