--- a/crates/garnetdoor-match/src/check.rs
+++ b/crates/garnetdoor-match/src/check.rs
@@ -15,6 +15,8 @@
 const MAX_PATTERN_BYTES: usize = 256 * 1024;
 /// The deepest nesting of groups in a pattern.
 const MAX_PATTERN_NESTING: u32 = 32;
+/// Bytes of a pattern's text for which its weight in the cost grows by one.
+const PATTERN_BYTES_PER_WEIGHT: usize = 8;
 /// The largest index of a path segment or list item.
 const MAX_INDEX: i64 = 1_000;
 
@@ -205,6 +207,21 @@
     Some((expr, ValueType { base: of, optional: false }))
 }
 
+/// An expression whose value may be absent.
+fn optional(expr: Expr, of: Type) -> Checked {
+    Some((expr, ValueType { base: of, optional: true }))
+}
+
+/// How many arguments a function takes; `None` for an unknown function.
+fn argument_count(name: &str) -> Option<usize> {
+    match name {
+        "segment" | "query" | "cookie" | "header" | "headers" | "lower" | "hash" | "length" | "count"
+        | "number" | "present" => Some(1),
+        "starts_with" | "ends_with" | "contains" | "matches" | "split" | "item" => Some(2),
+        _ => None,
+    }
+}
+
 /// What is expected instead of a value of this type that may be absent.
 fn needs_default(of: Type) -> String {
     format!("{of} that is always present: give a default by ??")
@@ -414,77 +431,89 @@
         }
     }
 
+    /// Checks a call of a function with its arguments.
     fn check_call(&mut self, node: &Node, name: &str, arguments: &[Node]) -> Checked {
-        let argument_count = match name {
-            "segment" | "query" | "cookie" | "header" | "headers" | "lower" | "hash" | "length" | "count"
-            | "number" | "present" => 1,
-            "starts_with" | "ends_with" | "contains" | "matches" | "split" | "item" => 2,
+        let Some(argument_count) = argument_count(name) else {
+            let expected = match most_similar(name, FUNCTIONS.into_iter()) {
+                Some(similar) => format!("a known function, perhaps {similar}"),
+                None => format!("one of {}", FUNCTIONS.join(", ")),
+            };
+            self.report(node, format!("the unknown function {name}"), expected);
+            return None;
+        };
+        match arguments {
+            [argument] if argument_count == 1 => self.check_unary_call(name, argument),
+            [first, second] if argument_count == 2 => self.check_binary_call(name, first, second),
             _ => {
-                let expected = match most_similar(name, FUNCTIONS.into_iter()) {
-                    Some(similar) => format!("a known function, perhaps {similar}"),
-                    None => format!("one of {}", FUNCTIONS.join(", ")),
-                };
-                self.report(node, format!("the unknown function {name}"), expected);
-                return None;
+                let found = format!("{} arguments", arguments.len());
+                self.report(node, found, format!("{argument_count} for {name}"));
+                None
             }
-        };
-        if arguments.len() != argument_count {
-            self.report(
-                node,
-                format!("{} arguments", arguments.len()),
-                format!("{argument_count} for {name}"),
-            );
-            return None;
         }
-        let optional = |expr, base| Some((expr, ValueType { base, optional: true }));
-        let first = &arguments[0];
+    }
+
+    /// Checks a call of a known function with one argument.
+    fn check_unary_call(&mut self, name: &str, argument: &Node) -> Checked {
         match name {
-            "segment" => optional(Expr::Input(Input::Segment(self.literal_index(first)?)), Type::Text),
-            "query" => optional(Expr::Input(Input::Query(self.literal_text(first)?)), Type::Text),
-            "cookie" => optional(Expr::Input(Input::Cookie(self.literal_text(first)?)), Type::Text),
-            "header" => optional(
-                Expr::Input(Input::Header(self.literal_text(first)?.to_ascii_lowercase())),
-                Type::Text,
-            ),
-            "headers" => always_present(
-                Expr::Input(Input::Headers(self.literal_text(first)?.to_ascii_lowercase())),
-                Type::List,
-            ),
-            "lower" => always_present(Expr::Lower(Box::new(self.require(first, Type::Text)?)), Type::Text),
-            "hash" => always_present(Expr::Hash(Box::new(self.require(first, Type::Text)?)), Type::Number),
-            "length" => {
-                always_present(Expr::Length(Box::new(self.require(first, Type::Text)?)), Type::Number)
+            "segment" => optional(Expr::Input(Input::Segment(self.literal_index(argument)?)), Type::Text),
+            "query" => optional(Expr::Input(Input::Query(self.literal_text(argument)?)), Type::Text),
+            "cookie" => optional(Expr::Input(Input::Cookie(self.literal_text(argument)?)), Type::Text),
+            "header" => {
+                let name = self.literal_text(argument)?.to_ascii_lowercase();
+                optional(Expr::Input(Input::Header(name)), Type::Text)
+            }
+            "headers" => {
+                let name = self.literal_text(argument)?.to_ascii_lowercase();
+                always_present(Expr::Input(Input::Headers(name)), Type::List)
             }
-            "count" => always_present(Expr::Count(Box::new(self.require(first, Type::List)?)), Type::Number),
-            "number" => optional(Expr::ToNumber(Box::new(self.require(first, Type::Text)?)), Type::Number),
             "present" => {
-                let (expr, value_type) = self.check(first)?;
+                let (expr, value_type) = self.check(argument)?;
                 if !value_type.optional {
-                    self.report(first, value_type.to_string(), "a value that may be absent".to_owned());
+                    self.report(argument, value_type.to_string(), "a value that may be absent".to_owned());
                     return None;
                 }
                 always_present(Expr::Present(Box::new(expr)), Type::Bool)
             }
+            "count" => {
+                let list = Box::new(self.require(argument, Type::List)?);
+                always_present(Expr::Count(list), Type::Number)
+            }
+            _ => {
+                let text = Box::new(self.require(argument, Type::Text)?);
+                match name {
+                    "lower" => always_present(Expr::Lower(text), Type::Text),
+                    "hash" => always_present(Expr::Hash(text), Type::Number),
+                    "length" => always_present(Expr::Length(text), Type::Number),
+                    _ => optional(Expr::ToNumber(text), Type::Number),
+                }
+            }
+        }
+    }
+
+    /// Checks a call of a known function with two arguments. Both are checked before the result is taken, so that the
+    /// errors of both are reported.
+    fn check_binary_call(&mut self, name: &str, first: &Node, second: &Node) -> Checked {
+        match name {
             "matches" => {
-                let (text, pattern) = (self.require(first, Type::Text), self.pattern(&arguments[1]));
+                let (text, pattern) = (self.require(first, Type::Text), self.pattern(second));
                 let ((pattern, weight), text) = (pattern?, text?);
                 always_present(Expr::Matches(Box::new(text), pattern, weight), Type::Bool)
             }
             "split" => {
-                let (text, separator) = (self.require(first, Type::Text), self.literal_text(&arguments[1]));
+                let (text, separator) = (self.require(first, Type::Text), self.literal_text(second));
                 let (text, separator) = (text?, separator?);
                 if separator.is_empty() {
-                    self.report(&arguments[1], "no text".to_owned(), "the text between the parts".to_owned());
+                    self.report(second, "no text".to_owned(), "the text between the parts".to_owned());
                     return None;
                 }
                 always_present(Expr::Split(Box::new(text), separator), Type::List)
             }
             "item" => {
-                let (list, index) = (self.require(first, Type::List), self.literal_index(&arguments[1]));
+                let (list, index) = (self.require(first, Type::List), self.literal_index(second));
                 optional(Expr::Item(Box::new(list?), index?), Type::Text)
             }
             _ => {
-                let (text, part) = (self.require(first, Type::Text), self.require(&arguments[1], Type::Text));
+                let (text, part) = (self.require(first, Type::Text), self.require(second, Type::Text));
                 let (text, part) = (Box::new(text?), Box::new(part?));
                 let expr = match name {
                     "starts_with" => Expr::StartsWith(text, part),
@@ -529,7 +558,7 @@
             .nest_limit(MAX_PATTERN_NESTING)
             .build()
         {
-            Ok(pattern) => Some((pattern, 1 + text.len() / 8)),
+            Ok(pattern) => Some((pattern, 1 + text.len() / PATTERN_BYTES_PER_WEIGHT)),
             Err(error) => {
                 let reason = error
                     .to_string()
--- a/crates/garnetdoor-match/src/cost.rs
+++ b/crates/garnetdoor-match/src/cost.rs
@@ -11,6 +11,8 @@
 
 /// Bytes of text that are scanned for one unit.
 const SCAN_BYTES_PER_UNIT: u64 = 16;
+/// Bytes of text that are matched for one unit against a pattern of weight 1.
+const MATCH_BYTES_PER_UNIT: u64 = 4;
 
 /// The cost of scanning this many bytes.
 pub(crate) fn scan_cost(bytes: usize) -> u64 {
@@ -19,7 +21,7 @@
 
 /// The cost of matching a pattern of this weight against this many bytes.
 pub(crate) fn pattern_cost(bytes: usize, weight: usize) -> u64 {
-    1 + bytes as u64 * weight as u64 / 4
+    1 + bytes as u64 * weight as u64 / MATCH_BYTES_PER_UNIT
 }
 
 /// The cost of a lookup in a sorted set of this many entries: its number of comparisons.
--- a/crates/garnetdoor-match/src/eval.rs
+++ b/crates/garnetdoor-match/src/eval.rs
@@ -24,7 +24,7 @@
     Address(IpAddr),
 }
 
-/// The cost of an evaluation in units; see [`cost`](crate::cost).
+/// The cost of an evaluation in units; see [`crate::cost`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cost(pub u64);
 
--- a/crates/garnetdoor-operator/src/lib.rs
+++ b/crates/garnetdoor-operator/src/lib.rs
@@ -97,7 +97,7 @@
     key.replace("~1", "/").replace("~0", "~")
 }
 
-/// Words an error of the schema validator for operators; there is one error for each unknown key.
+/// Rewords an error of the schema validator for operators; an object's unknown keys are an error each.
 fn config_errors(file: &Value, error: &jsonschema::ValidationError) -> Vec<ConfigError> {
     let pointer = error.instance_path().as_str().to_owned();
     let expected = match error.kind() {
--- a/crates/garnetdoor-sessions/src/limits.rs
+++ b/crates/garnetdoor-sessions/src/limits.rs
@@ -38,7 +38,7 @@
 
 /// At most one in this many file descriptors is for sessions, so that ordinary requests keep theirs whatever is
 /// configured.
-const DESCRIPTORS_PER_SESSION_DESCRIPTOR: usize = 2;
+const SESSION_DESCRIPTOR_DIVISOR: usize = 2;
 /// File descriptors of a session: one for its client and one for its server.
 const DESCRIPTORS_PER_SESSION: usize = 2;
 
@@ -57,7 +57,7 @@
     /// Lowers `max_sessions` to what the sessions' part of all file descriptors allows. Returns the limits and the
     /// number of descriptors reserved for sessions.
     pub fn capped_by_descriptors(mut self, descriptors: usize) -> (Limits, usize) {
-        let for_sessions = descriptors / DESCRIPTORS_PER_SESSION_DESCRIPTOR;
+        let for_sessions = descriptors / SESSION_DESCRIPTOR_DIVISOR;
         self.max_sessions = self.max_sessions.min(for_sessions / DESCRIPTORS_PER_SESSION);
         let reserved = self.max_sessions * DESCRIPTORS_PER_SESSION;
         (self, reserved)
