--- a/crates/garnetdoor-match/src/check.rs
+++ b/crates/garnetdoor-match/src/check.rs
@@ -89,7 +89,7 @@
     Or(Vec<Expr>),
     And(Vec<Expr>),
     Not(Box<Expr>),
-    /// Numbers, durations, texts, truths or addresses of one type.
+    /// Numbers, durations, texts, Booleans or addresses of one type.
     Compare(Comparison, Box<Expr>, Box<Expr>),
     /// A text, the set, and the length of the longest text in it.
     InTexts(Box<Expr>, BTreeSet<String>, usize),
--- a/crates/garnetdoor-routes/src/rules.rs
+++ b/crates/garnetdoor-routes/src/rules.rs
@@ -78,6 +78,7 @@
     pub profile: ProfileId,
     pub key: Option<String>,
     pub party: Option<String>,
+    /// The value of the rule's deadline expression.
     pub deadline: Option<Micros>,
     /// The index of its limit group.
     pub group: Option<usize>,
