--- a/crates/garnetdoor-gateway/src/event.rs
+++ b/crates/garnetdoor-gateway/src/event.rs
@@ -4,8 +4,8 @@
 use std::net::{IpAddr, SocketAddr};
 
 use garnetdoor::host::Micros;
-use garnetdoor_operator::Operator;
-use garnetdoor_sessions::{End, Glance, SessionId, Side};
+use garnetdoor_operator::OperatorConfig;
+use garnetdoor_sessions::{ConnectionActivity, SessionId, Side, SideEvent};
 
 /// A connection's number. Connections that clients open have even numbers, those that the gateway opens odd
 /// ones.
@@ -50,13 +50,13 @@
     /// way here.
     Joined(SessionId, bool),
     /// Something that ends, or changes, a session was seen on its connections.
-    Session(SessionId, End),
+    Session(SessionId, SideEvent),
     /// Samples of the activity on all sessions' connections.
-    SessionActivity(Vec<(SessionId, Glance)>),
+    SessionActivity(Vec<(SessionId, ConnectionActivity)>),
     /// New addresses of the list service and of the platform.
     Reload(SocketAddr, SocketAddr),
     /// New content of the operator file.
-    OperatorFile(Box<Operator>),
+    OperatorFile(Box<OperatorConfig>),
     /// The gateway is to stop.
     Stop,
 }
--- a/crates/garnetdoor-gateway/src/lifecycle/serve.rs
+++ b/crates/garnetdoor-gateway/src/lifecycle/serve.rs
@@ -19,7 +19,7 @@
 use crate::config::{self, Config};
 use crate::event::{ConnectionId, Effect, Event, SessionClose, SessionJoin};
 use crate::log;
-use crate::operator::{self, Operator};
+use crate::operator::{self, OperatorConfig};
 use crate::state::reducer::Reducer;
 use crate::wire::relay::Relay;
 use crate::wire::socket::{self, Connection};
@@ -73,7 +73,7 @@
 }
 
 fn start(
-    config: Config, operator: Operator, operator_path: Option<String>, signals: Signals,
+    config: Config, operator: OperatorConfig, operator_path: Option<String>, signals: Signals,
 ) -> io::Result<Driver> {
     let clock = Clock::start();
     let (events, inbox) = mpsc::channel();
--- a/crates/garnetdoor-gateway/src/state/reducer.rs
+++ b/crates/garnetdoor-gateway/src/state/reducer.rs
@@ -14,7 +14,7 @@
 
 use garnetdoor::balance::Balancer;
 use garnetdoor::host::{AttemptOutcome, Host, Micros, RolloutStatus};
-use garnetdoor_operator::Operator;
+use garnetdoor_operator::OperatorConfig;
 
 use super::connections::ConnectionKind;
 use super::gateway_state::{GatewayState, MS, Report};
@@ -50,7 +50,7 @@
 impl Reducer {
     /// Starts the decisions with the configuration and the operator file. If the configuration holds a server
     /// list and the platform's state, the list is applied first.
-    pub fn start(now: Micros, config: &Config, operator: &Operator) -> (Self, Vec<Effect>) {
+    pub fn start(now: Micros, config: &Config, operator: &OperatorConfig) -> (Self, Vec<Effect>) {
         let mut state = GatewayState::new(now, config);
         state.apply_operator_file(operator.clone(), config.seed);
         let state = Rc::new(RefCell::new(state));
--- a/crates/garnetdoor-gateway/src/state/reducer/sessions.rs
+++ b/crates/garnetdoor-gateway/src/state/reducer/sessions.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use garnetdoor::host::{AttemptNo, AttemptOutcome, BuildNo, Condition, Micros, RequestId};
-use garnetdoor_sessions::{Act, End, Glance, SessionId, Side};
+use garnetdoor_sessions::{Action, ConnectionActivity, SessionId, Side, SideEvent};
 
 use super::Reducer;
 use crate::event::{CloseReason, ConnectionId, Effect, SessionClose, SessionJoin};
@@ -22,16 +22,20 @@
         }
         self.report_shares();
         loop {
-            let acts =
-                self.state().session_table.as_mut().map(|table| table.sessions.acts()).unwrap_or_default();
-            if acts.is_empty() {
+            let actions = self
+                .state()
+                .session_table
+                .as_mut()
+                .map(|table| table.sessions.take_actions())
+                .unwrap_or_default();
+            if actions.is_empty() {
                 break;
             }
-            acts.into_iter().for_each(|act| self.carry_out(act));
+            actions.into_iter().for_each(|action| self.carry_out(action));
         }
         let state = &mut *self.state();
         let Some(table) = &mut state.session_table else { return };
-        let due = table.sessions.due();
+        let due = table.sessions.next_due();
         if table.timer.map(|(at, _)| at) != due {
             if let Some(timer) = table.timer.take() {
                 state.timers.cancel(timer);
@@ -40,7 +44,9 @@
         }
         if !table.sample_timer_set && !table.by_connection.is_empty() {
             table.sample_timer_set = true;
-            state.timers.set(state.now + table.sessions.limits().glances(), Timer::SessionSamples);
+            state
+                .timers
+                .set(state.now + table.sessions.limits().activity_check_interval(), Timer::SessionSamples);
         }
     }
 
@@ -52,7 +58,7 @@
         let builds: BTreeSet<BuildNo> = state.servers.values().map(|listed| listed.process.build).collect();
         let shares =
             builds.into_iter().filter_map(|build| Some((build, self.decisions.exposure_cap(build)?)));
-        table.sessions.told(state.now, shares.collect());
+        table.sessions.set_shares(state.now, shares.collect());
     }
 
     pub(super) fn session_timer_due(&mut self) {
@@ -74,47 +80,47 @@
         }
     }
 
-    fn carry_out(&mut self, act: Act) {
+    fn carry_out(&mut self, action: Action) {
         let mut state = self.state();
-        match act {
-            Act::GiveUp { session, come_back_in } => {
+        match action {
+            Action::AbandonOpening { session, retry_after } => {
                 let entry = state.session_table.as_mut().and_then(|table| table.entries.remove(&session));
                 drop(state);
                 if let Some(entry) = entry {
-                    self.abandon_upgrade(entry.request, come_back_in);
+                    self.abandon_upgrade(entry.request, retry_after);
                 }
             }
-            Act::Close { session, client, server, again_in, .. } => {
-                let again = again_in.map(|wait| format!("again-in-ms={}", wait / MS));
+            Action::Close { session, client_code, server_code, reconnect_after, .. } => {
+                let again = reconnect_after.map(|wait| format!("again-in-ms={}", wait / MS));
                 let reasons = [again.unwrap_or_default(), String::new()];
                 let mask = (state.random.rand_u64() as u32).to_be_bytes();
-                let close = SessionClose { codes: [client, server], reasons, mask };
+                let close = SessionClose { codes: [client_code, server_code], reasons, mask };
                 state.effects.push(Effect::CloseSession(session, Box::new(close)));
             }
-            Act::Cut { session, client, .. } => {
+            Action::Abort { session, client_code, .. } => {
                 let entry = state.session_table.as_ref().and_then(|table| table.entries.get(&session));
                 if let Some(connections) = entry.and_then(|entry| entry.connections) {
-                    state.effects.push(Effect::AbortSession(session, client, connections));
+                    state.effects.push(Effect::AbortSession(session, client_code, connections));
                     state.release_client_of_aborted(session);
                 }
             }
-            Act::Ping(session, side) => {
+            Action::Ping(session, side) => {
                 let mask = (state.random.rand_u64() as u32).to_be_bytes();
                 state.effects.push(Effect::Ping(session, side, mask));
             }
-            Act::Judge { server, build, profile, failed } => {
+            Action::RecordOutcome { server, build, profile, failed } => {
                 drop(state);
                 self.decisions.session_judged(server, build, profile, failed);
             }
-            Act::Ended { session, why, stood } => {
+            Action::Ended { session, reason, lifetime } => {
                 state.effects.push(Effect::ForgetSession(session));
                 let Some(table) = &mut state.session_table else { return };
                 let connections = table.entries.remove(&session).and_then(|entry| entry.connections);
                 for connection in connections.iter().flatten() {
                     table.by_connection.remove(connection);
                 }
-                let stood_ms = stood / MS;
-                state.log(format!("end session={session} code={} stood_ms={stood_ms}", why.code()));
+                let stood_ms = lifetime / MS;
+                state.log(format!("end session={session} code={} stood_ms={stood_ms}", reason.code()));
             }
         }
     }
@@ -153,14 +159,14 @@
         };
         let Some(open_request) = state.requests.get(&request) else { return };
         let Some(upgrade) = &open_request.request.upgrade else { return };
-        let agreement = match upgrade.offer.agreed(answer.fields()) {
+        let agreement = match upgrade.offer.check_response(answer.fields()) {
             Ok(agreement) if !ended => agreement,
             Ok(_) => {
                 drop(state);
                 return self.connection_failed(id, CloseReason::Broke, true);
             }
-            Err(lie) => {
-                state.log(format!("server conn={id} answered an upgrade wrongly: {lie:?}"));
+            Err(error) => {
+                state.log(format!("server conn={id} answered an upgrade wrongly: {error:?}"));
                 drop(state);
                 return self.connection_failed(id, CloseReason::Malformed, ended);
             }
@@ -182,7 +188,7 @@
         if let Some(request) = state.requests.get_mut(&request) {
             request.client = None;
         }
-        state.write_to_session(client, agreement.head());
+        state.write_to_session(client, agreement.response_head());
         state.end_attempt(request, attempt, AttemptOutcome::Succeeded, Vec::new());
         let condition = match state.servers.get(&server) {
             Some(listed) if listed.process == process => listed.condition,
@@ -197,8 +203,8 @@
                 client_connection.buffer.data().to_vec(),
                 server_connection.buffer.data().to_vec(),
             ],
-            compressed: agreement.compresses(),
-            max_message_bytes: table.sessions.limits().message_most,
+            compressed: agreement.allows_compression(),
+            max_message_bytes: table.sessions.limits().max_message_bytes,
         });
         table.by_connection.extend([(client, (session, Side::Client)), (id, (session, Side::Server))]);
         if let Some(entry) = table.entries.get_mut(&session) {
@@ -247,34 +253,36 @@
                 // It ended before the two were joined: there is nothing to relay, and the other connection
                 // ends too.
                 let other = entry.connections.map(|connections| connections[side.other() as usize]);
-                table.sessions.ends(now, session, End::Gone(side));
+                table.sessions.handle_side_event(now, session, SideEvent::Disconnected(side));
                 if let Some(other) = other {
                     state.effects.push(Effect::ShutdownWrite(other));
                 }
                 return;
             }
         }
-        table.sessions.ends(now, session, End::Gone(side));
+        table.sessions.handle_side_event(now, session, SideEvent::Disconnected(side));
     }
 
     /// The relay has seen something that ends or changes a session.
-    pub(super) fn session_event(&mut self, session: SessionId, end: End) {
+    pub(super) fn session_event(&mut self, session: SessionId, end: SideEvent) {
         let mut state = self.state();
         let now = state.now;
         if let Some(table) = &mut state.session_table {
-            table.sessions.ends(now, session, end);
+            table.sessions.handle_side_event(now, session, end);
         }
-        if let End::Fault(side, code) = end {
+        if let SideEvent::InvalidFrame(side, code) = end {
             state.log(format!("session={session} bad frame from {side:?}: {code}"));
         }
     }
 
     /// The activity on the sessions' connections has been sampled.
-    pub(super) fn sessions_sampled(&mut self, samples: Vec<(SessionId, Glance)>) {
+    pub(super) fn sessions_sampled(&mut self, samples: Vec<(SessionId, ConnectionActivity)>) {
         let mut state = self.state();
         let now = state.now;
         if let Some(table) = &mut state.session_table {
-            samples.into_iter().for_each(|(session, sample)| table.sessions.glanced(now, session, sample));
+            samples
+                .into_iter()
+                .for_each(|(session, sample)| table.sessions.observe_activity(now, session, sample));
         }
     }
 }
--- a/crates/garnetdoor-gateway/src/state/sessions.rs
+++ b/crates/garnetdoor-gateway/src/state/sessions.rs
@@ -6,8 +6,10 @@
 use std::net::IpAddr;
 
 use garnetdoor::host::{Arrival, BuildNo, Condition, Micros, ProfileId, RequestId, ServerId};
-use garnetdoor_operator::{Operator, Websocket};
-use garnetdoor_sessions::{Admission, Key, Opening, Party, Repeats, SessionId, Sessions, Side};
+use garnetdoor_operator::{OperatorConfig, Websocket};
+use garnetdoor_sessions::{
+    Admission, Party, Repeatability, SessionId, SessionKey, Sessions, Side, UpgradeRequest,
+};
 
 use super::connections::ConnectionKind;
 use super::gateway_state::GatewayState;
@@ -52,10 +54,11 @@
 impl GatewayState {
     /// Applies the operator file: sets up, changes or closes the session table, and reserves descriptors for
     /// sessions.
-    pub fn apply_operator_file(&mut self, operator: Operator, seed: u64) {
+    pub fn apply_operator_file(&mut self, operator: OperatorConfig, seed: u64) {
         let settings = operator.websocket;
-        let limits =
-            settings.as_ref().map(|settings| settings.limits().within(self.max_connections_and_sessions));
+        let limits = settings.as_ref().map(|settings| {
+            settings.session_limits().capped_by_descriptors(self.max_connections_and_sessions)
+        });
         let reserved = limits.as_ref().map_or(0, |(_, reserved)| *reserved);
         self.reserve_descriptors(reserved);
         let now = self.now;
@@ -114,15 +117,19 @@
         }
         let address = || table.client_addresses.get(&id).map_or_else(|| "?".to_owned(), ToString::to_string);
         let party = upgrade.party.clone().unwrap_or_else(address);
-        let repeats =
-            if self.profiles.is_repeatable(arrival.profile) { Repeats::Harmless } else { Repeats::Never };
-        let key = upgrade.key.as_deref().map(|key| Key(key.into()));
-        let opening = Opening { profile: arrival.profile, repeats, party: Party(party.into()), key };
-        match table.sessions.asked(self.now, opening) {
-            Admission::Taken(session) => Ok(Some(session)),
-            Admission::TurnedBack { why, come_back_in } => {
-                self.log(format!("upgrade conn={id} turned back: {}", why.code()));
-                Err(UpgradeRejected { retry_after: come_back_in })
+        let repeatability = if self.profiles.is_repeatable(arrival.profile) {
+            Repeatability::Repeatable
+        } else {
+            Repeatability::NotRepeatable
+        };
+        let key = upgrade.key.as_deref().map(|key| SessionKey(key.into()));
+        let opening =
+            UpgradeRequest { profile: arrival.profile, repeatability, party: Party(party.into()), key };
+        match table.sessions.request_upgrade(self.now, opening) {
+            Admission::Accepted(session) => Ok(Some(session)),
+            Admission::Rejected { reason, retry_after } => {
+                self.log(format!("upgrade conn={id} turned back: {}", reason.code()));
+                Err(UpgradeRejected { retry_after })
             }
         }
     }
@@ -154,7 +161,7 @@
         if let Some(table) = &mut self.session_table
             && let Some(session) = table.by_request.get(&request)
         {
-            table.sessions.sent(*session, server, build);
+            table.sessions.attempt_sent(*session, server, build);
         }
     }
 
@@ -166,7 +173,7 @@
             && table.entries.get(&session).is_some_and(|entry| entry.connections.is_none())
         {
             table.entries.remove(&session);
-            table.sessions.not_opened(now, session);
+            table.sessions.opening_failed(now, session);
         }
     }
 
@@ -190,7 +197,7 @@
             let (process_now, condition_now) =
                 listed.map_or((process, Condition::Gone), |listed| (listed.process, listed.condition));
             if (process_now, condition_now) != (process, condition) {
-                table.sessions.listed(now, server, condition_now, process_now == process);
+                table.sessions.update_server(now, server, condition_now, process_now == process);
             }
         }
     }
--- a/crates/garnetdoor-gateway/src/wire/client.rs
+++ b/crates/garnetdoor-gateway/src/wire/client.rs
@@ -3,7 +3,7 @@
 use garnetdoor::host::{Arrival, KeyId, Micros, PartyId, ProfileId, Settings, parse_seconds};
 
 use garnetdoor_operator::Websocket;
-use garnetdoor_websocket::handshake::{self, Offer, Refusal};
+use garnetdoor_websocket::handshake::{self, UpgradeOffer, UpgradeRefusal};
 
 use super::http::{self, Fault, Message};
 
@@ -62,13 +62,13 @@
     /// Not a valid request, with the status to answer.
     Invalid(u16),
     /// An upgrade that can't be accepted.
-    UpgradeRefused(Refusal),
+    UpgradeRefused(UpgradeRefusal),
 }
 
 /// What an upgrade carries besides its request.
 #[derive(Debug)]
 pub struct Upgrade {
-    pub offer: Offer,
+    pub offer: UpgradeOffer,
     /// Whole header lines that are passed to the server unchanged.
     pub passed_headers: String,
     /// The client's key for its session.
@@ -104,19 +104,21 @@
 }
 
 /// Reads an upgrade; `None` if the message asks for none, or its profile allows none.
-fn parse_upgrade(message: &Message, profile: &str, settings: &Websocket) -> Result<Option<Upgrade>, Refusal> {
+fn parse_upgrade(
+    message: &Message, profile: &str, settings: &Websocket,
+) -> Result<Option<Upgrade>, UpgradeRefusal> {
     let headers = message.fields();
-    if !settings.profiles.iter().any(|name| name == profile) || !handshake::asks(headers) {
+    if !settings.profiles.iter().any(|name| name == profile) || !handshake::requests_websocket(headers) {
         return Ok(None);
     }
-    let offer = handshake::offered(&message.method, message.minor_version, headers)?;
+    let offer = handshake::parse_offer(&message.method, message.minor_version, headers)?;
     if !message.body.is_empty() {
-        return Err(Refusal::Malformed("body"));
+        return Err(UpgradeRefusal::Malformed("body"));
     }
     let identifier = |header: &str, what| {
         let value = message.header(&header.to_ascii_lowercase()).filter(|_| !header.is_empty());
         value
-            .map(|text| is_identifier(text).then(|| text.to_owned()).ok_or(Refusal::Malformed(what)))
+            .map(|text| is_identifier(text).then(|| text.to_owned()).ok_or(UpgradeRefusal::Malformed(what)))
             .transpose()
     };
     let key = identifier(&settings.key_header, "the session's key")?;
@@ -201,8 +203,8 @@
 }
 
 /// The answer to an upgrade that can't be accepted.
-pub fn upgrade_refused(refusal: Refusal, last: bool) -> Vec<u8> {
-    http::write_answer(refusal.status(), refusal.lines(), b"", last)
+pub fn upgrade_refused(refusal: UpgradeRefusal, last: bool) -> Vec<u8> {
+    http::write_answer(refusal.status(), refusal.headers(), b"", last)
 }
 
 /// An answer that consists of its status only.
--- a/crates/garnetdoor-gateway/src/wire/instance.rs
+++ b/crates/garnetdoor-gateway/src/wire/instance.rs
@@ -19,7 +19,8 @@
     } else {
         format!("Content-Length: {}\r\n", body.len())
     };
-    let upgrade_lines = upgrade.as_ref().map(|upgrade| upgrade.offer.lines() + &upgrade.passed_headers);
+    let upgrade_lines =
+        upgrade.as_ref().map(|upgrade| upgrade.offer.request_headers() + &upgrade.passed_headers);
     let upgrade_lines = upgrade_lines.unwrap_or_default();
     let head = format!(
         "{method} {target} HTTP/1.1\r\nHost: {server}\r\n\
--- a/crates/garnetdoor-gateway/src/wire/relay.rs
+++ b/crates/garnetdoor-gateway/src/wire/relay.rs
@@ -8,8 +8,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
 
 use garnetdoor::host::Micros;
-use garnetdoor_sessions::{End, Glance, SessionId, Side};
-use garnetdoor_websocket::frames::{self, Flow};
+use garnetdoor_sessions::{ConnectionActivity, SessionId, Side, SideEvent};
+use garnetdoor_websocket::frames::{self, FrameFilter};
 use may::net::TcpStream;
 use nix::errno::Errno;
 use nix::sys::socket::{MsgFlags, recv};
@@ -30,7 +30,7 @@
 
 /// One direction of a session, from the side that sends.
 struct Direction {
-    flow: Flow,
+    flow: FrameFilter,
     /// The close frame that is to be written once the current message is over.
     pending_close: Option<Vec<u8>>,
     /// A close frame was written, or can't be written any more: nothing follows.
@@ -72,7 +72,7 @@
         connections: [&Arc<Connection>; 2], join: &SessionJoin, clock: Clock, events: Sender<Event>,
     ) -> Option<Arc<Self>> {
         let direction = |from| Direction {
-            flow: Flow::new(from, join.compressed, join.max_message_bytes),
+            flow: FrameFilter::new(from, join.compressed, join.max_message_bytes),
             pending_close: None,
             finished: false,
             cut_off: false,
@@ -137,30 +137,30 @@
     fn relay_bytes(&self, directions: &mut [Direction; 2], from: Side, to: &Connection, bytes: &[u8]) {
         let direction = &mut directions[from as usize];
         let fed = direction.flow.feed(bytes);
-        if !direction.finished && (!fed.first.is_empty() || fed.upto > 0) {
-            to.relay_write(&fed.first, &bytes[..fed.upto], self.clock.now());
+        if !direction.finished && (!fed.prefix.is_empty() || fed.accepted > 0) {
+            to.relay_write(&fed.prefix, &bytes[..fed.accepted], self.clock.now());
         }
-        if fed.data {
+        if fed.message_data {
             self.last_data.store(self.clock.now(), Ordering::Relaxed);
         }
-        if fed.reached {
+        if fed.end_reached {
             if let Some(frame) = direction.pending_close.take().filter(|_| !direction.finished) {
                 to.relay_write(&frame, &[], self.clock.now());
             }
             direction.finished = true;
         }
-        if let Some(code) = fed.close {
+        if let Some(code) = fed.close_frame {
             direction.finished = true;
-            self.report(End::Close(from, code));
+            self.report(SideEvent::CloseFrame(from, code));
         }
-        if let Some(fault) = fed.fault {
+        if let Some(error) = fed.error {
             direction.cut_off = true;
-            self.report(End::Fault(from, fault.code()));
+            self.report(SideEvent::InvalidFrame(from, error.close_code()));
         }
         self.shutdown_if_finished(directions);
     }
 
-    fn report(&self, end: End) {
+    fn report(&self, end: SideEvent) {
         let _ = self.events.send(Event::Session(self.session, end));
     }
 
@@ -189,9 +189,9 @@
                 continue;
             }
             let mask = (to == Side::Server).then_some(close.mask);
-            let frame = frames::close(close.codes[to as usize], &close.reasons[to as usize], mask);
+            let frame = frames::close_frame(close.codes[to as usize], &close.reasons[to as usize], mask);
             let connection = self.connections[to as usize].upgrade();
-            let is_between_messages = direction.flow.end();
+            let is_between_messages = direction.flow.end_after_message();
             if is_between_messages || (direction.cut_off && direction.flow.at_frame_end()) {
                 connection
                     .iter()
@@ -201,7 +201,7 @@
             // an orderly end of its connection.
             direction.finished |= is_between_messages || direction.cut_off;
             if direction.cut_off {
-                direction.flow.mute();
+                direction.flow.end_now();
             }
             if !direction.finished {
                 direction.pending_close = Some(frame);
@@ -218,7 +218,7 @@
         let [client, server] = self.connections.each_ref().map(Weak::upgrade);
         if let Some(client) = client {
             if !to_client.finished && to_client.flow.at_frame_end() {
-                client.relay_write(&frames::close(code, "", None), &[], self.clock.now());
+                client.relay_write(&frames::close_frame(code, "", None), &[], self.clock.now());
             }
             client.detach_relay();
             client.shutdown_write();
@@ -232,7 +232,7 @@
         let directions = self.directions();
         let direction = &directions[to.other() as usize];
         if !direction.finished && direction.flow.at_frame_end() {
-            let frame = frames::ping(b"", (to == Side::Server).then_some(mask));
+            let frame = frames::ping_frame(b"", (to == Side::Server).then_some(mask));
             self.connections[to as usize]
                 .upgrade()
                 .iter()
@@ -246,12 +246,16 @@
     }
 
     /// A sample of the session's activity.
-    pub fn sample(&self) -> Glance {
-        let heard = self.last_read.each_ref().map(|at| at.load(Ordering::Relaxed));
-        let stuck = self
+    pub fn sample(&self) -> ConnectionActivity {
+        let last_received = self.last_read.each_ref().map(|at| at.load(Ordering::Relaxed));
+        let write_blocked_since = self
             .connections
             .each_ref()
             .map(|connection| connection.upgrade().and_then(|connection| connection.stalled_since()));
-        Glance { heard, stuck, moved: self.last_data.load(Ordering::Relaxed) as Micros }
+        ConnectionActivity {
+            last_received,
+            write_blocked_since,
+            last_message: self.last_data.load(Ordering::Relaxed) as Micros,
+        }
     }
 }
