--- a/crates/garnetdoor-gateway/src/event.rs
+++ b/crates/garnetdoor-gateway/src/event.rs
@@ -141,7 +141,7 @@
     ClientLeft = "client-left",
     /// It was never established.
     NoConnect = "no-connect",
-    /// It broke while an answer was expected.
+    /// It broke while a response was expected.
     Broke = "broke",
     /// The peer announced the end of the connection, or was sent such an announcement.
     LastMessage = "last-message",
--- a/crates/garnetdoor-gateway/src/state/gateway_state.rs
+++ b/crates/garnetdoor-gateway/src/state/gateway_state.rs
@@ -28,21 +28,21 @@
 // These constants, and those of the other files of this module, are properties of the protocol and its
 // connections; no decision depends on them.
 
-/// How long before the client's deadline the final answer is sent, so that it arrives in time.
-const ANSWER_LEAD_TIME: Micros = 20 * MS;
+/// How long before the client's deadline the final response is sent, so that it arrives in time.
+const RESPONSE_LEAD_TIME: Micros = 20 * MS;
 /// After this time without data the event stream has failed; the platform sends something every second.
 const EVENT_STREAM_TIMEOUT: Micros = 3_500 * MS;
 /// First wait before the event stream is asked for again; it doubles up to [`EVENT_STREAM_MAX_BACKOFF`].
 const EVENT_STREAM_MIN_BACKOFF: Micros = 100 * MS;
 const EVENT_STREAM_MAX_BACKOFF: Micros = SECOND;
-/// How long a client may take to read an answer.
+/// How long a client may take to read a response.
 const CLIENT_READ_TIMEOUT: Micros = 10 * SECOND;
 /// How long a client may take for a whole message: the first one from when it connected, a further one from
 /// its first byte.
 pub(super) const CLIENT_MESSAGE_TIMEOUT: Micros = 2_500 * MS;
-/// How long a client may be idle after an answer. Some never send again and never close.
+/// How long a client may be idle after a response. Some never send again and never close.
 const CLIENT_IDLE_TIMEOUT: Micros = 2_200 * MS;
-/// How long a client may take to notice an answer that ends its connection.
+/// How long a client may take to notice a response that ends its connection.
 const LINGER_TIMEOUT: Micros = SECOND;
 /// Descriptors other than connections: standard streams, listener, peers' socket, signals, `may`.
 const NON_CONNECTION_DESCRIPTORS: usize = 14;
@@ -222,15 +222,15 @@
         id
     }
 
-    /// When a client with so much time left must be answered, so that the answer arrives in time.
-    pub fn answer_deadline(&self, time_left: Micros) -> Micros {
-        self.now + time_left - ANSWER_LEAD_TIME
+    /// When a client with so much time left must be answered, so that the response arrives in time.
+    pub fn response_deadline(&self, time_left: Micros) -> Micros {
+        self.now + time_left - RESPONSE_LEAD_TIME
     }
 
-    /// Whether the next answer on a connection is its last. It is also the last if the client has sent more
-    /// without waiting for the answer; otherwise one connection could bring hundreds of requests at once,
+    /// Whether the next response on a connection is its last. It is also the last if the client has sent more
+    /// without waiting for the response; otherwise one connection could bring hundreds of requests at once,
     /// which would all be executed.
-    pub fn is_last_answer(&self, id: ConnectionId) -> bool {
+    pub fn is_last_response(&self, id: ConnectionId) -> bool {
         let is_last = |connection: &ConnectionState| {
             !connection.buffer.is_empty()
                 || matches!(connection.kind, ConnectionKind::Client { last_message_read: true, .. })
@@ -243,8 +243,8 @@
         self.requests.values().any(|request| request.request.id == id)
     }
 
-    /// Writes an answer to a client; `last` ends the connection after it.
-    pub fn answer(&mut self, id: ConnectionId, bytes: Vec<u8>, last: bool) {
+    /// Writes a response to a client; `last` ends the connection after it.
+    pub fn respond(&mut self, id: ConnectionId, bytes: Vec<u8>, last: bool) {
         self.write(id, bytes);
         self.set_deadline(id, Some(self.now + if last { LINGER_TIMEOUT } else { CLIENT_READ_TIMEOUT }));
         let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -281,13 +281,13 @@
         }
     }
 
-    /// Gives a request its final answer, unless it has one or its client has left. `answer` gets whether it
-    /// is the last one on the connection.
-    pub fn answer_request(&mut self, id: RequestId, answer: impl FnOnce(bool) -> Vec<u8>) {
+    /// Gives a request its final response, unless it has one or its client has left. `response` gets whether
+    /// it is the last one on the connection.
+    pub fn respond_to_request(&mut self, id: RequestId, response: impl FnOnce(bool) -> Vec<u8>) {
         let client = self.requests.get_mut(&id).and_then(|request| request.client.take());
         if let Some(client) = client {
-            let last = self.is_last_answer(client);
-            self.answer(client, answer(last), last);
+            let last = self.is_last_response(client);
+            self.respond(client, response(last), last);
         }
     }
 
--- a/crates/garnetdoor-gateway/src/state/host.rs
+++ b/crates/garnetdoor-gateway/src/state/host.rs
@@ -68,11 +68,11 @@
     }
 
     fn reject(&mut self, id: RequestId, retry_after: Option<Micros>) {
-        self.0.borrow_mut().answer_request(id, |last| client::rejected(retry_after, last));
+        self.0.borrow_mut().respond_to_request(id, |last| client::rejected(retry_after, last));
     }
 
     fn fail(&mut self, id: RequestId) {
-        self.0.borrow_mut().answer_request(id, client::failed);
+        self.0.borrow_mut().respond_to_request(id, client::failed);
     }
 
     fn cast_vote(&mut self, build: BuildNo, stage: StageNo, vote: Vote) {
--- a/crates/garnetdoor-gateway/src/state/reducer.rs
+++ b/crates/garnetdoor-gateway/src/state/reducer.rs
@@ -2,9 +2,9 @@
 //! act on it, and returns the effects that are to be carried out outside. It reads no clock and uses no
 //! socket.
 
-mod answers;
 mod clients;
 mod connections;
+mod responses;
 mod sessions;
 mod streams;
 
@@ -221,7 +221,7 @@
 
     /// Changes the addresses of the list service and of the platform; what they have sent so far remains
     /// valid. The old addresses will soon be silent, so that calls to them are ended and made to the new ones
-    /// at once. A vote whose answer is cut off may or may not be counted, and is cast again.
+    /// at once. A vote whose response is cut off may or may not be counted, and is cast again.
     fn reload(&mut self, discovery: SocketAddr, platform: SocketAddr) {
         let mut state = self.state();
         state.log(format!("reload: discovery={discovery} rollouts.address={platform}"));
@@ -267,7 +267,7 @@
 }
 
 /// Whether the process may exit after the signal to stop: the listener is closed, all requests are answered,
-/// all answers are written, and no session is left.
+/// all responses are written, and no session is left.
 fn is_stop_complete(state: &GatewayState) -> bool {
     let is_answered = || state.requests.values().all(|request| request.client.is_none());
     let is_written =
--- a/crates/garnetdoor-gateway/src/state/reducer/clients.rs
+++ b/crates/garnetdoor-gateway/src/state/reducer/clients.rs
@@ -12,7 +12,7 @@
 use crate::wire::http::{self, MAX_UNREAD_BYTES};
 
 impl Reducer {
-    /// Handles the messages of a client that has no open request and has read its last answer.
+    /// Handles the messages of a client that has no open request and has read its last response.
     pub(super) fn read_client(&mut self, id: ConnectionId) {
         while self.read_client_message(id) {}
     }
@@ -40,14 +40,14 @@
                 return false;
             }
             Ok(None) => {
-                state.answer(id, client::status_only(413, true), true);
+                state.respond(id, client::status_only(413, true), true);
                 return false;
             }
             Err(fault) => {
                 // The connection ends: where its next message begins is unknown.
                 state.log(format!("client conn={id} unreadable: {fault:?}"));
                 let status = client::status_of_fault(fault);
-                state.answer(id, client::status_only(status, true), true);
+                state.respond(id, client::status_only(status, true), true);
                 return false;
             }
         };
@@ -56,24 +56,24 @@
         match client::classify(message, &state.profiles, waited, upgrades) {
             ClientMessage::HealthCheck => {
                 let status = if state.stopping || state.servers.is_empty() { 503 } else { 200 };
-                state.answer(id, client::status_only(status, last), last);
+                state.respond(id, client::status_only(status, last), last);
             }
             ClientMessage::Invalid(status) => {
                 state.log(format!("client conn={id} answered {status}"));
-                state.answer(id, client::status_only(status, last), last);
+                state.respond(id, client::status_only(status, last), last);
             }
             ClientMessage::UpgradeRefused(refusal) => {
                 state.log(format!("client conn={id} upgrade refused: {refusal:?}"));
-                state.answer(id, client::upgrade_refused(refusal, last), last);
+                state.respond(id, client::upgrade_refused(refusal, last), last);
             }
             ClientMessage::Request { request, .. } if state.is_open(&request.id) => {
-                // With the same id twice, an answer or an attempt could be taken for the other request's.
+                // With the same id twice, a response or an attempt could be taken for the other request's.
                 state.log(format!("client conn={id} answered 400: its id is open already"));
-                state.answer(id, client::status_only(400, true), true);
+                state.respond(id, client::status_only(400, true), true);
             }
             ClientMessage::Request { .. } if surplus || state.requests.len() >= state.max_open_requests => {
                 state.count_refusal(if surplus { Cause::Descriptors } else { Cause::MaxOpen });
-                state.answer(id, client::rejected(None, last), last);
+                state.respond(id, client::rejected(None, last), last);
             }
             ClientMessage::Request { arrival, request } => {
                 drop(state);
@@ -93,7 +93,7 @@
             Ok(session) => session,
             Err(UpgradeRejected { retry_after }) => {
                 state.count_refusal(Cause::Session);
-                return state.answer(id, client::rejected(Some(retry_after), last), last);
+                return state.respond(id, client::rejected(Some(retry_after), last), last);
             }
         };
         if session.is_some() {
@@ -102,7 +102,7 @@
             self.run_sessions();
             state = self.state();
         }
-        let deadline = state.answer_deadline(arrival.time_left);
+        let deadline = state.response_deadline(arrival.time_left);
         let open_request = OpenRequest { client: Some(id), request, deadline, attempts: Vec::new() };
         let number = state.add_request(open_request);
         session.into_iter().for_each(|session| state.add_session(session, number));
--- a/crates/garnetdoor-gateway/src/state/reducer/connections.rs
+++ b/crates/garnetdoor-gateway/src/state/reducer/connections.rs
@@ -70,7 +70,7 @@
             }
             ConnectionKind::Server { .. } | ConnectionKind::List | ConnectionKind::Vote => {
                 drop(state);
-                self.read_answer(id, false);
+                self.read_response(id, false);
             }
             ConnectionKind::Watch(_) | ConnectionKind::EventStream(_) => {
                 drop(state);
@@ -81,16 +81,18 @@
 
     /// The peer has closed a connection.
     pub(super) fn closed(&mut self, id: ConnectionId) {
-        let expects_answer = |kind: &ConnectionKind| {
+        let expects_response = |kind: &ConnectionKind| {
             matches!(kind, ConnectionKind::Server { .. } | ConnectionKind::List | ConnectionKind::Vote)
         };
-        let has_partial_answer = |connection: &ConnectionState| {
-            expects_answer(&connection.kind) && !connection.buffer.is_empty() && !connection.write_pending
+        let has_partial_response = |connection: &ConnectionState| {
+            expects_response(&connection.kind) && !connection.buffer.is_empty() && !connection.write_pending
         };
-        let has_partial_answer = self.state().connections.get(&id).map(has_partial_answer);
-        let Some(has_partial_answer) = has_partial_answer else { return self.session_connection_ended(id) };
-        // An answer without a length ends with its connection.
-        if has_partial_answer && self.read_answer(id, true) {
+        let has_partial_response = self.state().connections.get(&id).map(has_partial_response);
+        let Some(has_partial_response) = has_partial_response else {
+            return self.session_connection_ended(id);
+        };
+        // A response without a length ends with its connection.
+        if has_partial_response && self.read_response(id, true) {
             return;
         }
         let write_pending =
@@ -109,7 +111,7 @@
             ConnectionKind::Client { .. } if connection.write_pending => CloseReason::Slow,
             ConnectionKind::Client { .. } if !connection.buffer.is_empty() => {
                 state.log(format!("client conn={id} answered 408"));
-                return state.answer(id, client::status_only(408, true), true);
+                return state.respond(id, client::status_only(408, true), true);
             }
             ConnectionKind::Client { answered: true, .. } => {
                 return state.close_if_idle(id, CloseReason::Idle);
@@ -124,7 +126,7 @@
         self.connection_failed(id, reason, false);
     }
 
-    /// A connection ends without a complete answer. `closed_by_peer` says that it has ended already;
+    /// A connection ends without a complete response. `closed_by_peer` says that it has ended already;
     /// otherwise it is closed from this side.
     pub(in crate::state) fn connection_failed(
         &mut self, id: ConnectionId, reason: CloseReason, closed_by_peer: bool,
--- a/crates/garnetdoor-gateway/src/state/reducer/answers.rs
+++ b/crates/garnetdoor-gateway/src/state/reducer/responses.rs
@@ -1,4 +1,4 @@
-//! Answers to the gateway's own requests: attempts and probes at servers, votes, and calls for the list.
+//! Responses to the gateway's own requests: attempts and probes at servers, votes, and calls for the list.
 
 use garnetdoor::host::{AttemptOutcome, Micros, ServerId};
 
@@ -9,19 +9,19 @@
 use crate::wire::http::{self, MAX_UNREAD_BYTES, Message};
 use crate::wire::{client, discovery, instance, platform};
 
-/// How long a server may take for the rest of an answer of which a part has arrived; servers write an answer
-/// at once.
-const ANSWER_REST_TIMEOUT: Micros = 250 * MS;
+/// How long a server may take for the rest of a response of which a part has arrived; servers write a
+/// response at once.
+const RESPONSE_REST_TIMEOUT: Micros = 250 * MS;
 
 impl Reducer {
-    /// Reads the answer on a connection. True if it was complete, or can't be read; false if more of it is to
-    /// come.
-    pub(super) fn read_answer(&mut self, id: ConnectionId, ended: bool) -> bool {
+    /// Reads the response on a connection. True if it was complete, or can't be read; false if more of it is
+    /// to come.
+    pub(super) fn read_response(&mut self, id: ConnectionId, ended: bool) -> bool {
         let mut state = self.state();
         let Some(connection) = state.connections.get(&id) else { return true };
         let is_server = matches!(connection.kind, ConnectionKind::Server { .. });
         let is_idle = matches!(connection.kind, ConnectionKind::Server { call: None, .. });
-        // Bytes that arrived before the attempt was completely written are not its answer, but belong to an
+        // Bytes that arrived before the attempt was completely written are not its response, but belong to an
         // earlier one and arrived late. The drawback: if the system clock is set forward, the running
         // attempts fail.
         let is_unasked =
@@ -36,18 +36,18 @@
         }
         if let ConnectionKind::Server { call: Some(ServerCall::Attempt(request, _)), .. } = connection.kind
             && state.is_upgrade(request)
-            && let Ok(Some((answer, used))) = http::parse_switching_protocols(connection.buffer.data())
+            && let Ok(Some((response, used))) = http::parse_switching_protocols(connection.buffer.data())
         {
             drop(state);
-            self.open_session(id, &answer, used, ended);
+            self.open_session(id, &response, used, ended);
             return true;
         }
-        match http::parse_answer(connection.buffer.data(), ended) {
+        match http::parse_response(connection.buffer.data(), ended) {
             Ok(None) if connection.buffer.data().len() < MAX_UNREAD_BYTES => {
                 if is_server {
-                    // An answer that never becomes complete is recognized while its request may still be
-                    // retried. The drawback: an answer that is written this slowly is lost.
-                    let deadline = state.now + ANSWER_REST_TIMEOUT;
+                    // A response that never becomes complete is recognized while its request may still be
+                    // retried. The drawback: a response that is written this slowly is lost.
+                    let deadline = state.now + RESPONSE_REST_TIMEOUT;
                     let deadline = connection.deadline.map_or(deadline, |earlier| earlier.min(deadline));
                     state.set_deadline(id, Some(deadline));
                 }
@@ -56,7 +56,7 @@
             Ok(Some((message, used))) => {
                 state.consume(id, used);
                 drop(state);
-                self.handle_answer(id, message, ended);
+                self.handle_response(id, message, ended);
                 true
             }
             fault => {
@@ -68,17 +68,17 @@
         }
     }
 
-    /// Handles a complete answer to an attempt, a probe, a vote or a call for the list.
-    fn handle_answer(&mut self, id: ConnectionId, answer: Message, ended: bool) {
+    /// Handles a complete response to an attempt, a probe, a vote or a call for the list.
+    fn handle_response(&mut self, id: ConnectionId, response: Message, ended: bool) {
         let mut state = self.state();
         let Some(connection) = state.connections.get(&id) else { return };
         match connection.kind {
             ConnectionKind::Server { server, call: Some(call), .. } => {
                 drop(state);
-                self.handle_server_answer(id, server, call, &answer, ended);
+                self.handle_server_response(id, server, call, &response, ended);
             }
             ConnectionKind::Vote => {
-                let (result, status) = platform::vote_result(&answer);
+                let (result, status) = platform::vote_result(&response);
                 state.log(format!("vote taken: {result:?}"));
                 state.close(id, CloseReason::LastMessage);
                 drop(state);
@@ -87,8 +87,8 @@
                 }
                 self.decisions.vote_answered(result);
             }
-            ConnectionKind::List if answer.status == 200 => {
-                let list = discovery::parse_list(&answer.body, &state.known_names);
+            ConnectionKind::List if response.status == 200 => {
+                let list = discovery::parse_list(&response.body, &state.known_names);
                 drop(state);
                 match list {
                     Ok(list) => {
@@ -109,13 +109,13 @@
         }
     }
 
-    fn handle_server_answer(
-        &mut self, id: ConnectionId, server: ServerId, call: ServerCall, answer: &Message, ended: bool,
+    fn handle_server_response(
+        &mut self, id: ConnectionId, server: ServerId, call: ServerCall, response: &Message, ended: bool,
     ) {
         let mut state = self.state();
         let now = state.now;
-        let mut outcome = instance::attempt_outcome(answer);
-        let load = instance::load_report(answer, &state.load_fields);
+        let mut outcome = instance::attempt_outcome(response);
+        let load = instance::load_report(response, &state.load_fields);
         match call {
             ServerCall::Probe(sent_at) => {
                 state.pending_reports.push_back(Report::Probe(server, outcome, now - sent_at, load));
@@ -126,11 +126,11 @@
                     outcome = AttemptOutcome::Error;
                 }
                 if outcome == AttemptOutcome::Succeeded {
-                    state.answer_request(request, |last| client::finished(&answer.body, last));
+                    state.respond_to_request(request, |last| client::finished(&response.body, last));
                 }
                 state.end_attempt(request, attempt, outcome, load);
             }
         }
-        state.release_server_connection(id, answer.keep_alive && !ended);
+        state.release_server_connection(id, response.keep_alive && !ended);
     }
 }
--- a/crates/garnetdoor-gateway/src/state/reducer/sessions.rs
+++ b/crates/garnetdoor-gateway/src/state/reducer/sessions.rs
@@ -124,7 +124,7 @@
     fn abandon_upgrade(&mut self, request: RequestId, retry_after: Micros) {
         let mut state = self.state();
         state.count_refusal(Cause::Session);
-        state.answer_request(request, |last| client::rejected(Some(retry_after), last));
+        state.respond_to_request(request, |last| client::rejected(Some(retry_after), last));
         drop(state);
         self.decisions.client_disconnected(request);
         self.stop_attempts(request, None);
@@ -141,9 +141,9 @@
         }
     }
 
-    /// A server has answered an upgrade with a complete 101 answer, which takes `used` of the bytes that were
-    /// read. Opens the session, if the answer agrees with the offer and the client is still there.
-    pub(super) fn open_session(&mut self, id: ConnectionId, answer: &Message, used: usize, ended: bool) {
+    /// A server has answered an upgrade with a complete 101 response, which takes `used` of the bytes that
+    /// were read. Opens the session, if the response agrees with the offer and the client is still there.
+    pub(super) fn open_session(&mut self, id: ConnectionId, response: &Message, used: usize, ended: bool) {
         let mut state = self.state();
         let Some(connection) = state.connections.get(&id) else { return };
         let ConnectionKind::Server { server, process, call: Some(ServerCall::Attempt(request, attempt)) } =
@@ -153,7 +153,7 @@
         };
         let Some(open_request) = state.requests.get(&request) else { return };
         let Some(upgrade) = &open_request.request.upgrade else { return };
-        let agreement = match upgrade.offer.agreed(answer.fields()) {
+        let agreement = match upgrade.offer.agreed(response.fields()) {
             Ok(agreement) if !ended => agreement,
             Ok(_) => {
                 drop(state);
--- a/crates/garnetdoor-gateway/src/state/refusals.rs
+++ b/crates/garnetdoor-gateway/src/state/refusals.rs
@@ -1,5 +1,5 @@
-//! Counts requests that were refused without a server's answer, by cause, so that the log tells the causes in
-//! a bounded number of lines.
+//! Counts requests that were refused without a server's response, by cause, so that the log tells the causes
+//! in a bounded number of lines.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/garnetdoor-gateway/src/state/request.rs
+++ b/crates/garnetdoor-gateway/src/state/request.rs
@@ -19,7 +19,7 @@
 
 /// A request that was accepted; kept until it is answered and all its attempts have ended.
 pub struct OpenRequest {
-    /// The client's connection; `None` once the request has its final answer or the client has left.
+    /// The client's connection; `None` once the request has its final response or the client has left.
     pub client: Option<ConnectionId>,
     pub request: ForwardedRequest,
     /// When its last attempt times out.
--- a/crates/garnetdoor-gateway/src/state/servers.rs
+++ b/crates/garnetdoor-gateway/src/state/servers.rs
@@ -78,7 +78,7 @@
     }
 
     /// An idle connection had closed, or received bytes, before it could be used. Nothing has been written,
-    /// and the message is sent on another connection. Such bytes could otherwise be taken for the answer to
+    /// and the message is sent on another connection. Such bytes could otherwise be taken for the response to
     /// the next request, and an attempt could be written to a connection that its server has closed, without
     /// knowing whether it was executed.
     pub fn resend_from_stale(&mut self, id: ConnectionId, message: Vec<u8>) {
--- a/crates/garnetdoor-gateway/src/state/timers.rs
+++ b/crates/garnetdoor-gateway/src/state/timers.rs
@@ -24,7 +24,7 @@
     /// Log how many requests were refused.
     RefusalSummary,
     StopListening,
-    /// Give all open requests their final answer before the process ends.
+    /// Give all open requests their final response before the process ends.
     AnswerAll,
     Exit,
 }
--- a/crates/garnetdoor-gateway/src/wire/client.rs
+++ b/crates/garnetdoor-gateway/src/wire/client.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, and the gateway's answers to them.
+//! Requests of clients, and the gateway's responses to them.
 
 use garnetdoor::host::{Arrival, KeyId, Micros, PartyId, ProfileId, Settings, parse_seconds};
 
@@ -182,30 +182,30 @@
         .flatten()
 }
 
-/// The answer of a finished request, with the server's body unchanged. Here and below, `last` announces the
+/// The response of a finished request, with the server's body unchanged. Here and below, `last` announces the
 /// end of the connection.
 pub fn finished(body: &[u8], last: bool) -> Vec<u8> {
-    http::write_answer(200, "", body, last)
+    http::write_response(200, "", body, last)
 }
 
-/// The answer that rejects a request which was not executed: a retry is safe, after `retry_after` if that is
-/// known.
+/// The response that rejects a request which was not executed: a retry is safe, after `retry_after` if that
+/// is known.
 pub fn rejected(retry_after: Option<Micros>, last: bool) -> Vec<u8> {
     let header = retry_after.map(|wait| format!("Retry-After: {:.3}\r\n", wait as f64 / MICROS_PER_SECOND));
-    http::write_answer(503, &header.unwrap_or_default(), b"", last)
+    http::write_response(503, &header.unwrap_or_default(), b"", last)
 }
 
-/// The answer of a request that failed and may have been executed.
+/// The response of a request that failed and may have been executed.
 pub fn failed(last: bool) -> Vec<u8> {
-    http::write_answer(504, "", b"", last)
+    http::write_response(504, "", b"", last)
 }
 
-/// The answer to an upgrade that can't be accepted.
+/// The response to an upgrade that can't be accepted.
 pub fn upgrade_refused(refusal: Refusal, last: bool) -> Vec<u8> {
-    http::write_answer(refusal.status(), refusal.lines(), b"", last)
+    http::write_response(refusal.status(), refusal.lines(), b"", last)
 }
 
-/// An answer that consists of its status only.
+/// A response that consists of its status only.
 pub fn status_only(status: u16, last: bool) -> Vec<u8> {
-    http::write_answer(status, "", b"", last)
+    http::write_response(status, "", b"", last)
 }
--- a/crates/garnetdoor-gateway/src/wire/http.rs
+++ b/crates/garnetdoor-gateway/src/wire/http.rs
@@ -10,8 +10,8 @@
 /// Bytes that a connection may hold unread: a whole message and the framing of its chunks.
 pub const MAX_UNREAD_BYTES: usize = 2 * (MAX_HEAD_BYTES + MAX_BODY_BYTES);
 const MAX_HEADERS: usize = 64;
-/// Interim answers (status 1xx) that may precede an answer.
-const MAX_INTERIM_ANSWERS: usize = 16;
+/// Interim responses (status 1xx) that may precede a response.
+const MAX_INTERIM_RESPONSES: usize = 16;
 
 /// Why a message can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,9 +89,9 @@
 /// A completely read message.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Message {
-    /// Empty for an answer.
+    /// Empty for a response.
     pub method: String,
-    /// Empty for an answer.
+    /// Empty for a response.
     pub target: String,
     /// 0 for a request.
     pub status: u16,
@@ -153,12 +153,12 @@
     Ok(Some((message, length + body_length)))
 }
 
-/// Parses an answer, and skips interim answers before it. `ended` says that the connection has ended, so that
-/// no more bytes follow.
-pub fn parse_answer(data: &[u8], ended: bool) -> ParseResult {
+/// Parses a response, and skips interim responses before it. `ended` says that the connection has ended, so
+/// that no more bytes follow.
+pub fn parse_response(data: &[u8], ended: bool) -> ParseResult {
     let mut parsed = 0;
-    for _ in 0..=MAX_INTERIM_ANSWERS {
-        let Some((mut message, framing, length)) = parse_answer_head(&data[parsed..])? else {
+    for _ in 0..=MAX_INTERIM_RESPONSES {
+        let Some((mut message, framing, length)) = parse_response_head(&data[parsed..])? else {
             return Ok(None);
         };
         parsed += length;
@@ -175,12 +175,12 @@
     Err(Fault::Malformed)
 }
 
-/// Parses the head of a 101 (Switching Protocols) answer; `None` while it is incomplete, and for any other
-/// answer.
+/// Parses the head of a 101 (Switching Protocols) response; `None` while it is incomplete, and for any other
+/// response.
 pub fn parse_switching_protocols(data: &[u8]) -> ParseResult {
     let mut parsed = 0;
-    for _ in 0..=MAX_INTERIM_ANSWERS {
-        let Some((message, _, length)) = parse_answer_head(&data[parsed..])? else { return Ok(None) };
+    for _ in 0..=MAX_INTERIM_RESPONSES {
+        let Some((message, _, length)) = parse_response_head(&data[parsed..])? else { return Ok(None) };
         parsed += length;
         match message.status {
             101 => return Ok(Some((message, parsed))),
@@ -191,9 +191,9 @@
     Ok(None)
 }
 
-/// A copy of an answer's head with the value of its load report overwritten by `?`; `None` if there is no
-/// report. Without this, a load report that can't be parsed would make a good answer unreadable, and fail its
-/// request.
+/// A copy of a response's head with the value of its load report overwritten by `?`; `None` if there is no
+/// report. Without this, a load report that can't be parsed would make a good response unreadable, and fail
+/// its request.
 fn head_without_load_report(data: &[u8]) -> Option<Vec<u8>> {
     let name = b"\r\nsrv-load:";
     let start = data.windows(name.len()).position(|part| part.eq_ignore_ascii_case(name))? + name.len();
@@ -204,15 +204,15 @@
     Some(head)
 }
 
-/// The head of an answer, the framing of its body, and the head's length in bytes; `None` while it is
+/// The head of a response, the framing of its body, and the head's length in bytes; `None` while it is
 /// incomplete.
-fn parse_answer_head(data: &[u8]) -> Result<Option<(Message, Framing, usize)>, Fault> {
+fn parse_response_head(data: &[u8]) -> Result<Option<(Message, Framing, usize)>, Fault> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut lines);
     let status = match head.parse(data) {
         Ok(status) => status,
         Err(error) => match head_without_load_report(data) {
-            Some(head) if head != data[..head.len()] => return parse_answer_head(&head),
+            Some(head) if head != data[..head.len()] => return parse_response_head(&head),
             _ => return Err(fault_of(error)),
         },
     };
@@ -230,7 +230,7 @@
 /// The status and the length in bytes of a stream's head; `None` while it is incomplete. A stream with status
 /// 200 must be chunked.
 fn parse_stream_head(data: &[u8]) -> Result<Option<(u16, usize)>, Fault> {
-    Ok(match parse_answer_head(data)? {
+    Ok(match parse_response_head(data)? {
         Some((message, framing, _)) if message.status == 200 && framing != Framing::Chunked => {
             return Err(Fault::Malformed);
         }
@@ -321,8 +321,8 @@
     pairs.find(|(field, _)| *field == name).map(|(_, value)| value)
 }
 
-/// Writes an answer. `extra_headers` holds whole header lines; `last` announces the end of the connection.
-pub fn write_answer(status: u16, extra_headers: &str, body: &[u8], last: bool) -> Vec<u8> {
+/// Writes a response. `extra_headers` holds whole header lines; `last` announces the end of the connection.
+pub fn write_response(status: u16, extra_headers: &str, body: &[u8], last: bool) -> Vec<u8> {
     let connection = if last { "Connection: close\r\n" } else { "" };
     let (reason, length) = (reason_phrase(status), body.len());
     let head =
@@ -330,7 +330,7 @@
     [head.as_bytes(), body].concat()
 }
 
-/// A chunked answer that goes on for as long as its connection.
+/// A chunked response that goes on for as long as its connection.
 #[derive(Default)]
 pub struct ChunkedStream {
     /// Whether its head has been read.
--- a/crates/garnetdoor-gateway/src/wire/instance.rs
+++ b/crates/garnetdoor-gateway/src/wire/instance.rs
@@ -1,4 +1,4 @@
-//! Requests to servers, and what their answers mean for an attempt.
+//! Requests to servers, and what their responses mean for an attempt.
 
 use std::net::SocketAddr;
 
@@ -33,18 +33,18 @@
     format!("GET /ping HTTP/1.1\r\nHost: {server}\r\n\r\n").into_bytes()
 }
 
-/// How an answer ends an attempt. A status that the protocol does not define says nothing about whether the
+/// How a response ends an attempt. A status that the protocol does not define says nothing about whether the
 /// request was executed.
-pub fn attempt_outcome(answer: &Message) -> AttemptOutcome {
-    match answer.status {
+pub fn attempt_outcome(response: &Message) -> AttemptOutcome {
+    match response.status {
         200 => AttemptOutcome::Succeeded,
-        503 | 504 if answer.header("srv-declined") == Some("1") => AttemptOutcome::Rejected,
+        503 | 504 if response.header("srv-declined") == Some("1") => AttemptOutcome::Rejected,
         _ => AttemptOutcome::Error,
     }
 }
 
-/// The values of the answer's load report, in the order of `fields`; empty if there is no report.
-pub fn load_report(answer: &Message, fields: &[String]) -> Vec<Option<f64>> {
-    let Some(report) = answer.header("srv-load") else { return Vec::new() };
+/// The values of the response's load report, in the order of `fields`; empty if there is no report.
+pub fn load_report(response: &Message, fields: &[String]) -> Vec<Option<f64>> {
+    let Some(report) = response.header("srv-load") else { return Vec::new() };
     fields.iter().map(|field| http::list_value(report, field)?.parse().ok()).collect()
 }
--- a/crates/garnetdoor-gateway/src/wire/platform.rs
+++ b/crates/garnetdoor-gateway/src/wire/platform.rs
@@ -34,11 +34,12 @@
     format!("GET /notices HTTP/1.1\r\nHost: {platform}\r\nAccept: text/event-stream\r\n\r\n").into_bytes()
 }
 
-/// Reads the answer to a vote: how the platform took it, and the state that a counted vote is answered with.
-pub fn vote_result(answer: &Message) -> (VoteResult, Option<RolloutStatus>) {
-    let Some(fields) = leaf_elements(&answer.body) else { return (VoteResult::Unknown, None) };
+/// Reads the response to a vote: how the platform took it, and the state that a counted vote is answered
+/// with.
+pub fn vote_result(response: &Message) -> (VoteResult, Option<RolloutStatus>) {
+    let Some(fields) = leaf_elements(&response.body) else { return (VoteResult::Unknown, None) };
     let field = |name: &str| fields.iter().find(|(field, _)| field == name).map(|(_, text)| text.as_str());
-    match (answer.status, field("Code")) {
+    match (response.status, field("Code")) {
         (200, None) => match parse_rollout_status(field) {
             Some(status) => (VoteResult::Counted, Some(status)),
             None => (VoteResult::Unknown, None),
--- a/crates/garnetdoor-gateway/src/wire/socket.rs
+++ b/crates/garnetdoor-gateway/src/wire/socket.rs
@@ -263,9 +263,9 @@
         Ok(Some(read))
     }
 
-    /// Discards what has arrived after the last answer was written. A client that sends far more than it may
-    /// would otherwise be blocked in its sending, and never read the answer. False once the connection has
-    /// ended.
+    /// Discards what has arrived after the last response was written. A client that sends far more than it
+    /// may would otherwise be blocked in its sending, and never read the response. False once the connection
+    /// has ended.
     fn discard(&self, stream: &TcpStream) -> nix::Result<bool> {
         let fd = stream.inner().as_raw_fd();
         READ_BUFFER.with_borrow_mut(|buffer| recv(fd, buffer, MsgFlags::MSG_TRUNC)).map(|count| count > 0)
@@ -273,7 +273,8 @@
 
     /// The connection's coroutine: runs until the connection ends.
     fn run(&self, stream: TcpStream, clock: Clock, events: &Sender<Event>) {
-        // Messages are small, and their sender waits for the answer: Nagle's algorithm would only delay them.
+        // Messages are small, and their sender waits for the response: Nagle's algorithm would only delay
+        // them.
         let _ = stream.set_nodelay(true);
         let waker = stream.waker();
         let (stream, _) = self.stream.get_or_init(|| (stream, waker));
