--- a/src/balance.rs
+++ b/src/balance.rs
@@ -28,7 +28,7 @@
 const SAMPLE_WINDOW: Micros = 4 * SECOND; // older samples say nothing about a server's present
 const MAX_SAMPLE_WINDOW: Micros = 20 * SECOND; // where attempts are so few that older samples must serve
 const FAILURE_COST: f64 = 8.0; // of a failed attempt, in usual latencies
-const LONG_SHARE: f64 = 0.5; // of the target latency: attempts in flight for so long indicate overload
+const LONG_IN_FLIGHT_SHARE: f64 = 0.5; // of the target latency: longer shows overload before attempts end
 const REQUEST_COUNT_WINDOW: Micros = 10 * SECOND; // long enough for a count where requests are few
 const LIST_CALL_TIME: Micros = 10 * MS; // of the list service, per gateway that may call it at the same time
 const STALL_CHECK_PERIOD: Micros = 100 * MS; // a check late by half of it shows that the gateway stalled
@@ -43,6 +43,7 @@
 }
 
 impl<H: Host> Balancer<H> {
+    /// Starts with an empty state; all random draws follow from `seed`.
     pub fn start(host: H, seed: u64, settings: Settings) -> Self {
         let random = oorandom::Rand64::new(u128::from(seed));
         let (config, state) = (BalancerConfig::default(), BalancerState::default());
@@ -106,7 +107,7 @@
         request.done |= done;
         let Arrival { profile, key, .. } = request.arrival;
         let Some(attempt) = request.end_attempt(number, outcome) else { return };
-        let seen = self.state.server_answered(&attempt, outcome, now);
+        let seen = self.state.record_end(&attempt, outcome, now);
         if let Some((zone, silent)) = seen.filter(|_| outcome.is_server_evidence() && !self.has_stalled()) {
             let usual = self.state.usual_latency(profile, now - self.sample_window());
             let sample = Sample::new(&attempt, outcome, now, latency, usual, zone, silent);
@@ -188,7 +189,7 @@
         now == self.state.stalled_at || (due_at > 0 && now > due_at + STALL_CHECK_PERIOD / 2)
     }
 
-    /// How far back samples count: for two requests per server, within the two limits.
+    /// How far back samples count: as far as two requests per server go back, within the two limits.
     fn sample_window(&self) -> Micros {
         let earliest = self.state.recent_requests.time_before(2 * self.state.servers.len());
         let window = earliest.map_or(MAX_SAMPLE_WINDOW, |at| self.host.now() - at);
--- a/src/balance/evidence.rs
+++ b/src/balance/evidence.rs
@@ -19,7 +19,7 @@
     /// earlier build still answers beside the one on trial: without that comparison, a slowdown or broken
     /// links that affect all servers would roll back a good released build. A released build that turns slow
     /// is left to [`Signal::SlowerThanBefore`]. Nor are they judged after a stall, or across zones, where
-    /// they say as much about the link. The host gets all latencies, as it compares them for all gateways.
+    /// they say as much about the link. The host gets latencies all the same: it compares for all gateways.
     pub(super) fn judge_attempt(
         &mut self, attempt: &Attempt, profile: ProfileId, latency: Micros, outcome: AttemptOutcome,
     ) {
--- a/src/balance/retry.rs
+++ b/src/balance/retry.rs
@@ -18,7 +18,8 @@
         let (now, window) = (self.host.now(), self.sample_window());
         let timed_out = |server: &Server| server.recent_samples(now, window).any(Sample::timed_out_silently);
         let confirmed = || self.state.servers.values().any(timed_out);
-        let overloaded = |zone| self.pressure()(zone).is_some_and(|pressure| pressure >= LONG_SHARE);
+        let overloaded =
+            |zone| self.pressure()(zone).is_some_and(|pressure| pressure >= LONG_IN_FLIGHT_SHARE);
         let silent = |server: &Server| {
             let confirmed = server.in_flight.len() > 1 || confirmed();
             server.last_answer_at <= attempt.sent_at && confirmed && !overloaded(server.info.zone)
--- a/src/balance/selection.rs
+++ b/src/balance/selection.rs
@@ -116,7 +116,7 @@
         let usual: BTreeMap<ZoneId, f64> = usual.collect();
         let mut random = self.random;
         let trial_drawn = random.rand_float() * totals.healthy < totals.on_trial;
-        let overloaded = usual.values().any(|latency| *latency >= LONG_SHARE * target);
+        let overloaded = usual.values().any(|latency| *latency >= LONG_IN_FLIGHT_SHARE * target);
         let subset = self.own_subset(totals.groups.values().map(|group| group.size).sum());
         let mut best: Option<Candidate> = None;
         for (server_id, server) in &self.state.servers {
--- a/src/balance/shedding.rs
+++ b/src/balance/shedding.rs
@@ -9,7 +9,7 @@
 const RANKED_WAIT_FACTOR: f64 = 2.0; // how much longer requests may wait where ranks decide
 const RETRY_AFTER_MARGIN: Micros = 20 * MS; // of the time left, as the answer takes a while to arrive
 const OTHERS_IN_FLIGHT: f64 = 3.0; // attempts of other gateways that a server is assumed to have
-const MAX_LOAD_GROWTH: f64 = 2.0; // beyond the highest load of an answer, for which latency is predicted
+const MAX_LOAD_GROWTH: f64 = 2.0; // times the highest load of an answer: up to it latency is predicted
 const LOST_FACTOR: f64 = 4.0; // of the mean of many answers, the most that an attempt without one counts as
 
 impl<H: Host> Balancer<H> {
@@ -23,25 +23,23 @@
         let ended = self.state.samples.iter().flat_map(|(profile, samples)| {
             let (recent, target) = (samples_after(samples, now - SAMPLE_WINDOW), target(*profile));
             recent.filter_map(move |sample| match sample.outcome {
-                Succeeded => Some((Some(sample.zone), sample.latency as f64 / target, true)),
-                Rejected => Some((Some(sample.zone), OVERLOAD_SHARE, true)),
-                TimedOut | Cancelled => Some((Some(sample.zone), OVERLOAD_SHARE, false)),
+                Succeeded => Some(LatencyShare::answered(sample.zone, sample.latency as f64 / target)),
+                Rejected => Some(LatencyShare::answered(sample.zone, OVERLOAD_SHARE)),
+                TimedOut | Cancelled => Some(LatencyShare::unanswered(sample.zone, OVERLOAD_SHARE)),
                 _ => None,
             })
         });
-        let in_flight = self.state.in_flight_times(now);
-        let late = in_flight.map(|(profile, zone, time)| {
+        let late = self.state.in_flight_times(now).map(|(profile, zone, time)| {
             let share = time as f64 / target(profile);
-            (zone, share.min(OVERLOAD_SHARE), false)
+            LatencyShare::unanswered(zone, share.min(OVERLOAD_SHARE))
         });
-        let late = late.filter(|(_, share, _)| *share >= LONG_SHARE);
+        let late = late.filter(|late| late.share >= LONG_IN_FLIGHT_SHARE);
         let shares = LatencyShares(ended.chain(late).collect());
         let limit = |sum: f64, count: usize| match count {
             ..SAMPLES_PER_SERVER => OVERLOAD_SHARE,
             _ => LOST_FACTOR * sum / count as f64,
         };
-        let mean = move |zone| shares.mean(zone, 2, limit);
-        move |zone| mean(Some(zone)).or_else(|| mean(None))
+        move |zone| shares.mean(Some(zone), 2, limit).or_else(|| shares.mean(None, 2, limit))
     }
 
     /// The latency to expect of a server: the usual one, times its recent slowness, times the growth of its
--- a/src/host.rs
+++ b/src/host.rs
@@ -366,8 +366,8 @@
     }
 }
 
-/// Parses decimal seconds, rounded to whole microseconds. Only numbers with an exponent go through a float, so
-/// that others lose no digits.
+/// Parses decimal seconds, rounded to whole microseconds. Only numbers with an exponent go through a float,
+/// so that others lose no digits.
 pub fn parse_seconds(text: &str) -> Option<Micros> {
     let (negative, digits) = text.strip_prefix('-').map_or((false, text), |rest| (true, rest));
     let is_decimal = |part: &str| part.bytes().all(|byte| byte.is_ascii_digit());
