--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -1,166 +1,209 @@
-//! What is known to be on disk, and the one write that may be under way.
+//! What is known to be on disk, and the one write that may be in progress.
 
 use types::{LogIndex, MS, Micros, Term, VoterId};
 
+use crate::fingerprint::FingerprintHasher;
 use crate::log::Log;
-use crate::mark::FingerprintHasher;
 use crate::{Write, WriteId};
 
-/// What is committed is written without anything else after it has not risen for so long.
-const LAZY: Micros = 200 * MS;
+/// A new commit index that no other write carries is written by itself once it has not risen for this long.
+const COMMIT_INDEX_WRITE_DELAY: Micros = 200 * MS;
 
 #[derive(Clone)]
-struct UnderWay {
-    no: WriteId,
-    since: Micros,
+struct PendingWrite {
+    id: WriteId,
+    started_at: Micros,
     term: Term,
-    voted: Option<VoterId>,
-    /// Entries up to this one are as in memory once it is synced.
-    upto: LogIndex,
-    /// The last entry on disk once it is synced, whether still good or not.
-    last: LogIndex,
-    snapshot: LogIndex,
-    committed: LogIndex,
+    voted_for: Option<VoterId>,
+    /// Once this write is synced, entries up to this one are on disk as in memory.
+    stable_index: LogIndex,
+    /// The last entry on disk once this write is synced, even if memory has replaced it meanwhile.
+    last_index: LogIndex,
+    snapshot_index: LogIndex,
+    commit_index: LogIndex,
 }
 
 #[derive(Clone)]
 pub(crate) struct Disk {
-    next: u64,
-    under_way: Option<UnderWay>,
+    next_id: u64,
+    pending: Option<PendingWrite>,
     term: Term,
-    voted: Option<VoterId>,
+    voted_for: Option<VoterId>,
     /// Entries up to this one are on disk as in memory.
-    stable: LogIndex,
-    /// No entry after this one can be on disk, whatever came of the writes.
-    holds: LogIndex,
-    snapshot: LogIndex,
-    /// What is committed, as the disk tells at a start.
-    committed: LogIndex,
-    /// When a newer `committed` is written for its own sake.
-    lazily: Option<Micros>,
-    /// The last write failed; when to try again.
-    retry: Option<Micros>,
+    stable_index: LogIndex,
+    /// No entry after this one can be on disk, whether or not the writes succeeded.
+    last_possible_index: LogIndex,
+    snapshot_index: LogIndex,
+    /// The commit index that a restart would read from disk.
+    commit_index: LogIndex,
+    /// When a newer commit index is written even if nothing else is to be written.
+    commit_write_at: Option<Micros>,
+    /// When to try again, after a failed write.
+    retry_at: Option<Micros>,
 }
 
 impl Disk {
-    /// `log` as it was read, `holds` the last index found.
-    pub(crate) fn open(
-        term: Term, voted: Option<VoterId>, log: &Log, holds: LogIndex, committed: LogIndex,
+    /// `log` is the log as it was read from disk, and `last_on_disk` the highest index found there.
+    pub(crate) fn restore(
+        term: Term, voted_for: Option<VoterId>, log: &Log, last_on_disk: LogIndex, commit_index: LogIndex,
     ) -> Disk {
-        let (stable, snapshot) = (log.last(), log.snapshot_index());
         Disk {
-            next: 1,
-            under_way: None,
+            next_id: 1,
+            pending: None,
             term,
-            voted,
-            stable,
-            holds,
-            snapshot,
-            committed,
-            lazily: None,
-            retry: None,
+            voted_for,
+            stable_index: log.last_index(),
+            last_possible_index: last_on_disk,
+            snapshot_index: log.snapshot_index(),
+            commit_index,
+            commit_write_at: None,
+            retry_at: None,
         }
     }
 
-    pub(crate) fn stable(&self) -> LogIndex {
-        self.stable
+    pub(crate) fn stable_index(&self) -> LogIndex {
+        self.stable_index
     }
 
-    /// True if this term and vote are on disk.
-    pub(crate) fn knows(&self, term: Term, voted: Option<VoterId>) -> bool {
-        self.term == term && self.voted == voted
+    /// Whether this term and vote are on disk.
+    pub(crate) fn has_saved_vote(&self, term: Term, voted_for: Option<VoterId>) -> bool {
+        self.term == term && self.voted_for == voted_for
     }
 
-    /// False after a failed write until one succeeds, and while one has hung for over `hung` microseconds.
-    pub(crate) fn well(&self, now: Micros, hung: Micros) -> bool {
-        self.retry.is_none() && self.under_way.as_ref().is_none_or(|write| now - write.since < hung)
+    /// False from a failed write until one succeeds, and while a write has taken `stall_timeout` or longer.
+    pub(crate) fn is_healthy(&self, now: Micros, stall_timeout: Micros) -> bool {
+        self.retry_at.is_none()
+            && self.pending.as_ref().is_none_or(|write| now - write.started_at < stall_timeout)
     }
 
-    /// When the next write is wanted that nothing but time brings about.
+    /// When a write becomes due by time alone.
     pub(crate) fn due(&self) -> Option<Micros> {
-        self.retry.or(self.lazily).filter(|_| self.under_way.is_none())
+        self.retry_at.or(self.commit_write_at).filter(|_| self.pending.is_none())
     }
 
-    /// More is committed than the disk tells. It goes with the next write, or alone once all is calm.
-    pub(crate) fn committed(&mut self, now: Micros, committed: LogIndex) {
-        if committed > self.committed {
-            self.lazily = Some(now + LAZY);
+    /// Schedules a write of the commit index if it is newer than the one on disk. The next write carries it, or one of its
+    /// own if there is none for a while.
+    pub(crate) fn note_commit_index(&mut self, now: Micros, commit_index: LogIndex) {
+        if commit_index > self.commit_index {
+            self.commit_write_at = Some(now + COMMIT_INDEX_WRITE_DELAY);
         }
     }
 
-    /// Memory has other entries from `from` on than it had.
-    pub(crate) fn cut(&mut self, from: LogIndex) {
+    /// The log in memory was truncated: its entries from `from` on may differ from those on disk.
+    pub(crate) fn truncate_from(&mut self, from: LogIndex) {
         let before = LogIndex(from.0.saturating_sub(1));
-        self.stable = self.stable.min(before);
-        if let Some(write) = &mut self.under_way {
-            write.upto = write.upto.min(before);
+        self.stable_index = self.stable_index.min(before);
+        if let Some(write) = &mut self.pending {
+            write.stable_index = write.stable_index.min(before);
         }
     }
 
-    /// The next write, where there is something to write and none is under way.
-    pub(crate) fn issue(
-        &mut self, now: Micros, term: Term, voted: Option<VoterId>, log: &Log, committed: LogIndex,
+    /// The next write, if there is something to write and no write is in progress.
+    pub(crate) fn next_write(
+        &mut self, now: Micros, term: Term, voted_for: Option<VoterId>, log: &Log, commit_index: LogIndex,
     ) -> Option<Write> {
-        if self.under_way.is_some() || self.retry.is_some_and(|at| now < at) {
+        if self.pending.is_some() || self.retry_at.is_some_and(|at| now < at) {
             return None;
         }
-        let snapshot = log.snapshot().filter(|snapshot| snapshot.index > self.snapshot);
-        let good = self.stable.max(snapshot.map_or(LogIndex(0), |snapshot| snapshot.index));
-        let last = log.last();
-        let lazily = self.lazily.is_some_and(|at| now >= at);
-        if self.knows(term, voted) && snapshot.is_none() && good == last && self.holds <= good && !lazily {
+        let snapshot = log.snapshot().filter(|snapshot| snapshot.index > self.snapshot_index);
+        let valid_index = self.stable_index.max(snapshot.map_or(LogIndex(0), |snapshot| snapshot.index));
+        let last_index = log.last_index();
+        let commit_write_due = self.commit_write_at.is_some_and(|at| now >= at);
+        if self.has_saved_vote(term, voted_for)
+            && snapshot.is_none()
+            && valid_index == last_index
+            && self.last_possible_index <= valid_index
+            && !commit_write_due
+        {
             return None;
         }
-        let no = WriteId(self.next);
-        self.next += 1;
+        let id = WriteId(self.next_id);
+        self.next_id += 1;
         let write = Write {
-            id: no,
+            id,
             term,
-            voted_for: voted,
-            commit_index: committed,
-            truncate_from: (self.holds > good).then_some(LogIndex(good.0 + 1)),
-            entries: log.slice(LogIndex(good.0 + 1), usize::MAX),
+            voted_for,
+            commit_index,
+            truncate_from: (self.last_possible_index > valid_index).then_some(LogIndex(valid_index.0 + 1)),
+            entries: log.entries_from(LogIndex(valid_index.0 + 1), usize::MAX),
             snapshot: snapshot.map(|snapshot| (**snapshot).clone()),
         };
-        self.holds = self.holds.max(last);
-        self.lazily = None;
-        let snapshot = snapshot.map_or(self.snapshot, |snapshot| snapshot.index);
-        self.under_way =
-            Some(UnderWay { no, since: now, term, voted, upto: last, last, snapshot, committed });
+        self.last_possible_index = self.last_possible_index.max(last_index);
+        self.commit_write_at = None;
+        self.pending = Some(PendingWrite {
+            id,
+            started_at: now,
+            term,
+            voted_for,
+            stable_index: last_index,
+            last_index,
+            snapshot_index: snapshot.map_or(self.snapshot_index, |snapshot| snapshot.index),
+            commit_index,
+        });
         Some(write)
     }
 
-    /// True if this was the one under way.
-    pub(crate) fn synced(&mut self, no: WriteId, last: LogIndex) -> bool {
-        let Some(write) = self.under_way.take_if(|write| write.no == no) else { return false };
+    /// Records a successful write. Returns whether it is the one in progress.
+    pub(crate) fn synced(&mut self, id: WriteId, last_index: LogIndex) -> bool {
+        let Some(write) = self.pending.take_if(|write| write.id == id) else { return false };
         self.term = write.term;
-        self.voted = write.voted;
-        self.stable = write.upto.max(write.snapshot).max(self.stable).min(last);
-        self.holds = write.last;
-        self.snapshot = write.snapshot;
-        self.committed = write.committed;
-        self.retry = None;
+        self.voted_for = write.voted_for;
+        self.stable_index =
+            write.stable_index.max(write.snapshot_index).max(self.stable_index).min(last_index);
+        self.last_possible_index = write.last_index;
+        self.snapshot_index = write.snapshot_index;
+        self.commit_index = write.commit_index;
+        self.retry_at = None;
         true
     }
 
-    /// Write numbers are left out: only the one under way is ever answered. `hung`: as in `well`.
-    pub(crate) fn mark(&self, marks: &mut FingerprintHasher, hung: Micros) {
-        let Disk { next: _, under_way, term, voted, stable, holds, snapshot, committed, lazily, retry } =
-            self;
-        marks.add((term, voted, stable, holds, snapshot, committed));
-        marks.add((lazily.map(|at| marks.time_until(at)), retry.map(|at| marks.time_until(at))));
-        marks.add(under_way.is_some());
-        if let Some(UnderWay { no: _, since, term, voted, upto, last, snapshot, committed }) = under_way {
-            marks.add((marks.time_since(*since, hung), term, voted, upto, last, snapshot, committed));
+    /// Write ids are left out, since only the write in progress is ever answered. `stall_timeout` as in `is_healthy`.
+    pub(crate) fn add_to_fingerprint(&self, hasher: &mut FingerprintHasher, stall_timeout: Micros) {
+        let Disk {
+            next_id: _,
+            pending,
+            term,
+            voted_for,
+            stable_index,
+            last_possible_index,
+            snapshot_index,
+            commit_index,
+            commit_write_at,
+            retry_at,
+        } = self;
+        hasher.add((term, voted_for, stable_index, last_possible_index, snapshot_index, commit_index));
+        hasher
+            .add((commit_write_at.map(|at| hasher.time_until(at)), retry_at.map(|at| hasher.time_until(at))));
+        hasher.add(pending.is_some());
+        if let Some(PendingWrite {
+            id: _,
+            started_at,
+            term,
+            voted_for,
+            stable_index,
+            last_index,
+            snapshot_index,
+            commit_index,
+        }) = pending
+        {
+            hasher.add((
+                hasher.time_since(*started_at, stall_timeout),
+                term,
+                voted_for,
+                stable_index,
+                last_index,
+                snapshot_index,
+                commit_index,
+            ));
         }
     }
 
-    /// True if this was the one under way. All that it held is written again with the next.
-    pub(crate) fn failed(&mut self, no: WriteId, retry: Micros) -> bool {
-        let Some(_) = self.under_way.take_if(|write| write.no == no) else { return false };
-        self.retry = Some(retry);
-        // Where it held nothing else, the next try still has something to write.
-        self.lazily = Some(retry);
+    /// Records a failed write. Returns whether it is the one in progress. The next write holds all that this one held.
+    pub(crate) fn failed(&mut self, id: WriteId, retry_at: Micros) -> bool {
+        let Some(_) = self.pending.take_if(|write| write.id == id) else { return false };
+        self.retry_at = Some(retry_at);
+        // If the failed write held nothing but the commit index, the retry must still have something to write.
+        self.commit_write_at = Some(retry_at);
         true
     }
 }
