--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,15 +1,14 @@
-//! What a ledger asks of a store.
+//! The key-value store that a log store is built on.
 
 use thiserror::Error;
 
-/// Why a store could not do what it was asked to. After a failed `put` the batch is there whole or not at
-/// all.
+/// Why a store failed. After a failed `commit` the batch is stored as a whole or not at all.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum StoreError {
     /// The disk is full, gone or failing; later tries may succeed.
     #[error("{operation}: {reason}")]
     Failed { operation: &'static str, reason: String },
-    /// What is on disk can't be read as a store any more.
+    /// The data on disk can no longer be read as a store.
     #[error("store is damaged: {reason}")]
     Damaged { reason: String },
 }
@@ -31,8 +30,8 @@
     },
 }
 
-/// Changes that are made together, in order: all or none. Carrying out the same batch again, whether or not
-/// it was carried out before, gives the same store.
+/// Changes that are made in order and atomically: all or none. Committing the same batch twice gives the same store as
+/// committing it once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
     pub operations: Vec<Operation>,
@@ -52,15 +51,16 @@
     }
 }
 
-/// Keys with their values, in the order of the keys.
+/// Keys with their values, sorted by key.
 pub type KeyValuePairs = Vec<(Vec<u8>, Vec<u8>)>;
 
-/// Ordered keys with values that outlast the process and a loss of power. May wait for the disk.
+/// An ordered key-value store whose contents survive the end of the process and a loss of power. Its methods may block on
+/// the disk.
 pub trait Store: Send {
-    /// Makes the batch's changes, atomic and durable at return.
+    /// Makes the changes of a batch, atomically, and durably before this returns.
     fn commit(&mut self, batch: &Batch) -> Result<(), StoreError>;
 
-    /// Keys from `from` (included) to `until` (not included; empty: no bound), in order, with their values.
+    /// Returns the keys from `from` (included) to `until` (not included; no bound if empty) with their values, sorted by key.
     fn scan(&mut self, from: &[u8], until: &[u8]) -> Result<KeyValuePairs, StoreError>;
 }
 
