--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -41,7 +41,8 @@
     /// Appends are sent without waiting for the responses to earlier ones.
     Pipeline { in_flight: VecDeque<AppendInFlight> },
     /// The peer needs entries that are no longer in memory. `sent_at` is when the chunk at `offset` was sent, or `None` if it
-    /// is still to be sent. `awaiting_contact` is set after a time-out: nothing is sent until the peer is heard again.
+    /// is still to be sent. `awaiting_contact` is set after a time-out, and if the peer was never heard in this term: no chunk
+    /// is sent until it is heard.
     Snapshot { snapshot: Arc<Snapshot>, offset: usize, sent_at: Option<Micros>, awaiting_contact: bool },
 }
 
@@ -205,8 +206,9 @@
         }
     }
 
-    /// The peer has more than before. What arrived at the first attempt halves the response timeout; what was sent twice says
-    /// nothing about the link and leaves it as it is (Karn and Partridge, "Improving round-trip time estimates", 1987).
+    /// The peer has more than before. If it arrived at the first attempt, one doubling of the response timeout is taken back.
+    /// What was sent twice says nothing about the link and leaves the timeout as it is (Karn and Partridge, "Improving
+    /// round-trip time estimates", 1987).
     fn record_progress(&mut self, now: Micros) {
         self.last_progress_at = now;
         if !std::mem::take(&mut self.was_resent) {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -152,7 +152,7 @@
     Heartbeat { commit_index: LogIndex, round: Option<u64> },
     /// The sender's log equals the leader's up to `received_index`, and it is on disk up to `match_index`.
     AppendResponse { match_index: LogIndex, received_index: LogIndex, round: u64 },
-    /// The sender has no such entry at `prev_index`; the leader should retry after `retry_index`.
+    /// The sender has no such entry at `prev_index`; the leader should try again with `retry_index` in its place.
     AppendRejected { prev_index: LogIndex, retry_index: LogIndex, round: u64 },
     /// Bytes of a snapshot, from `offset` on.
     InstallSnapshot {
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,6 +1,6 @@
 //! Single-server membership changes: voters are added and removed one at a time, by entries of the log.
 
-use types::{LogIndex, Micros, NodeAddress, VoterId};
+use types::{LogIndex, Micros, VoterId};
 
 use crate::fingerprint::FingerprintHasher;
 use crate::leader::Peer;
@@ -157,64 +157,89 @@
     /// The membership change that is due, if any: removals come before additions.
     fn next_change(&self) -> Option<Change> {
         let Role::Leader(state) = &self.role else { return None };
-        let members = self.log.members();
-        let election_timeout = self.timing.election_timeout;
-        let removal_of = |removed: VoterId| -> Option<Change> {
-            let remaining: Vec<VoterId> =
-                members.0.iter().copied().filter(|voter| *voter != removed).collect();
-            self.has_recent_quorum(&remaining).then_some(Change::Remove(removed, Members(remaining)))
+        let is_live_learner = |peer: &&Peer| {
+            !self.is_voter(peer.id)
+                && peer.last_heard.is_some()
+                && peer.silence(self.now) < self.timing.election_timeout
         };
-        let (mut learner_addresses, mut ready_learner) = (Vec::new(), None);
-        for peer in state.peers.iter().filter(|peer| !members.0.contains(&peer.id)) {
-            if peer.last_heard.is_some() && peer.silence(self.now) < election_timeout {
-                learner_addresses.push(peer.id.address);
-                if self.is_caught_up(peer) {
-                    ready_learner = ready_learner.or(Some(peer.id));
-                }
-            }
-        }
-        let voters = || state.peers.iter().filter(|peer| members.0.contains(&peer.id));
-        // A learner with another disk runs at the voter's address: the voter's disk is gone for good, with all it promised.
-        let is_replaced = |address: NodeAddress| learner_addresses.contains(&address);
-        let replaced = voters()
-            .filter(|peer| is_replaced(peer.id.address) && peer.silence(self.now) >= election_timeout);
-        if let Some(change) = replaced.filter_map(|peer| removal_of(peer.id)).next() {
-            return Some(change);
-        }
-        let (voter_count, timing) = (members.0.len(), self.timing);
+        let learners: Vec<&Peer> = state.peers.iter().filter(is_live_learner).collect();
+        let ready_learner = learners.iter().find(|learner| self.is_caught_up(learner));
+        let ready_learner = ready_learner.map(|learner| learner.id);
+        self.removal_of_replaced(&learners)
+            .or_else(|| self.removal_of_silent(ready_learner))
+            .or_else(|| self.addition_of(ready_learner?))
+    }
+
+    /// The removal of a voter at whose address a learner with another disk runs: the voter's disk is gone for good, with all
+    /// that it promised.
+    fn removal_of_replaced(&self, learners: &[&Peer]) -> Option<Change> {
+        let is_replaced = |peer: &&Peer| {
+            learners.iter().any(|learner| learner.id.address == peer.id.address)
+                && peer.silence(self.now) >= self.timing.election_timeout
+        };
+        self.voter_peers().filter(is_replaced).find_map(|peer| self.removal_of(peer.id))
+    }
+
+    /// The removal of a voter that has been silent for too long.
+    fn removal_of_silent(&self, ready_learner: Option<VoterId>) -> Option<Change> {
+        let (voter_count, timing) = (self.log.members().0.len(), self.timing);
         let is_even = voter_count.is_multiple_of(2) && voter_count > MIN_VOTERS_LEFT_OF_EVEN;
         let has_spare = voter_count > timing.fault_tolerance.min_voters(voter_count);
-        let shutdown_grace = SHUTDOWN_ELECTION_TIMEOUTS * election_timeout;
         // How long a voter may be silent before it is removed. A voter that was stopped in order has announced it; unless a
         // learner is ready to replace it, it is expected back with its disk, as in a rolling restart.
         let max_silence = |peer: &Peer| match ready_learner {
-            Some(_) if peer.is_shutting_down(shutdown_grace) => Some(election_timeout),
-            Some(_) => Some(timing.replacement_timeout.max(election_timeout)),
+            Some(_) if peer.is_shutting_down(self.shutdown_grace()) => Some(timing.election_timeout),
+            Some(_) => Some(timing.replacement_timeout.max(timing.election_timeout)),
             None if is_even => Some(timing.removal_timeout / EVEN_REMOVAL_DIVISOR),
             None => has_spare.then_some(timing.removal_timeout),
         };
         let is_overdue = |peer: &&Peer| max_silence(peer).is_some_and(|max| peer.silence(self.now) >= max);
-        let mut overdue: Vec<&Peer> = voters().filter(is_overdue).collect();
+        let mut overdue: Vec<&Peer> = self.voter_peers().filter(is_overdue).collect();
         // The voter that has been silent longest goes first: the others may only be stalled.
         overdue.sort_by_key(|peer| std::cmp::Reverse(peer.silence(self.now)));
-        if let Some(change) = overdue.into_iter().filter_map(|peer| removal_of(peer.id)).next() {
-            return Some(change);
-        }
+        overdue.into_iter().find_map(|peer| self.removal_of(peer.id))
+    }
+
+    /// The addition of a learner that has caught up, if the group can commit it safely.
+    fn addition_of(&self, learner: VoterId) -> Option<Change> {
+        let Role::Leader(state) = &self.role else { return None };
+        let members = self.log.members();
         // The larger majority must be available even without the new voter, or its loss would stop the whole group. If it is
         // not, a silent voter is removed first. A single voter has no choice.
-        let is_staying =
-            |voter: &VoterId| state.peer(*voter).is_none_or(|peer| !peer.is_shutting_down(shutdown_grace));
+        let is_staying = |voter: &VoterId| {
+            state.peer(*voter).is_none_or(|peer| !peer.is_shutting_down(self.shutdown_grace()))
+        };
         let staying: Vec<VoterId> = members.0.iter().copied().filter(is_staying).collect();
-        let available = self.count_recently_heard(&staying);
-        let tolerates_loss = voter_count == 1 || available > voter_count.div_ceil(2);
-        let is_address_free =
-            |learner: &VoterId| members.0.iter().all(|member| member.address != learner.address);
-        ready_learner
-            .filter(|learner| is_address_free(learner) && tolerates_loss && voter_count < MAX_VOTERS)
-            .map(|learner| {
-                let mut next_members = members.clone();
-                next_members.0.push(learner);
-                Change::Add(next_members)
-            })
+        let voter_count = members.0.len();
+        let tolerates_loss =
+            voter_count == 1 || self.count_recently_heard(&staying) > voter_count.div_ceil(2);
+        let is_address_free = members.0.iter().all(|member| member.address != learner.address);
+        if !is_address_free || !tolerates_loss || voter_count >= MAX_VOTERS {
+            return None;
+        }
+        let mut next_members = members.clone();
+        next_members.0.push(learner);
+        Some(Change::Add(next_members))
+    }
+
+    /// The removal of a voter, if a majority of the remaining ones was heard lately.
+    fn removal_of(&self, removed: VoterId) -> Option<Change> {
+        let members = self.log.members().0.iter().copied();
+        let remaining: Vec<VoterId> = members.filter(|voter| *voter != removed).collect();
+        self.has_recent_quorum(&remaining).then_some(Change::Remove(removed, Members(remaining)))
+    }
+
+    /// The peers that are voters; none if this node does not lead.
+    fn voter_peers(&self) -> impl Iterator<Item = &Peer> {
+        let peers = match &self.role {
+            Role::Leader(state) => &state.peers[..],
+            Role::Follower | Role::PreCandidate(_) | Role::Candidate(_) => &[],
+        };
+        peers.iter().filter(|peer| self.is_voter(peer.id))
+    }
+
+    /// How long after its shutdown notice a voter may be heard last and still count as shut down.
+    fn shutdown_grace(&self) -> Micros {
+        SHUTDOWN_ELECTION_TIMEOUTS * self.timing.election_timeout
     }
 }
--- a/crates/consensus/src/raft_node.rs
+++ b/crates/consensus/src/raft_node.rs
@@ -343,6 +343,7 @@
         self.log.members().0.len() / 2 + 1
     }
 
+    /// False after a failed write and while a write hangs. Such a node neither leads nor votes.
     pub(crate) fn disk_is_healthy(&self) -> bool {
         self.disk.is_healthy(self.now, DISK_STALL_ELECTION_TIMEOUTS * self.timing.election_timeout)
     }
@@ -402,6 +403,7 @@
         self.leader.is_none()
     }
 
+    /// Sends heartbeats, starts elections and sends join requests when it is time.
     fn tick(&mut self) {
         if self.is_leader() {
             return self.send_heartbeats();
@@ -421,6 +423,7 @@
         }
     }
 
+    /// Asks all known nodes to let this one join or to name the leader.
     fn send_join_requests(&mut self) {
         self.next_join_request = self.now + self.timing.join_interval;
         let mut addresses = self.peer_addresses.clone();
@@ -461,6 +464,8 @@
         }
     }
 
+    /// Handles a request or response according to its term. Senders of older terms are told so if they act as leaders, and
+    /// ignored otherwise, except that votes and pre-votes have rules of their own.
     fn handle_rpc(&mut self, from: VoterId, term: Term, rpc: Rpc) {
         match rpc {
             Rpc::PreVoteRequest { last_index, last_term } => {
@@ -502,6 +507,7 @@
         }
     }
 
+    /// Replaces the snapshot by the newer state that the driver has handed over.
     fn handle_snapshot_taken(&mut self, index: LogIndex, data: Vec<u8>) {
         if index > self.log.snapshot_index() && index <= self.applied_index {
             let term = self.log.term_at(index).expect("entries after the snapshot are in memory");
--- a/crates/consensus/tests/cluster.rs
+++ b/crates/consensus/tests/cluster.rs
@@ -1132,7 +1132,7 @@
         cluster.replace_machine(node);
         cluster.run(5 * SECOND);
     }
-    // Three of the first voters are gone; three of the current five are a majority.
+    // All three initial voters are gone. Of the current five, the remaining three are a majority.
     [3, 6].iter().for_each(|node| cluster.stop(*node, true));
     let acks = cluster.ack_count;
     cluster.run(SECOND + SECOND / 2);
