--- a/crates/control-state/src/idempotency.rs
+++ b/crates/control-state/src/idempotency.rs
@@ -1,5 +1,5 @@
-//! Taken (idempotency keys): which change was taken on top of which version, so that a call repeated after its answer
-//! was lost is known for what it is, also when newer versions have come since.
+//! Idempotency records: which configuration change was applied on top of which version. They tell a call that is
+//! repeated after its answer was lost from a conflicting change, also when newer versions have come since.
 
 use std::collections::BTreeMap;
 
@@ -7,26 +7,27 @@
 use types::{ConfigVersion, Micros, SECOND};
 use xxhash_rust::xxh3::Xxh3;
 
-/// So many are kept whatever their age, the newest among them: nothing newer need come for days.
-pub const LEAST: usize = 1_024;
-/// Beyond these, for so long: a day, in which a deployment of the size to design for has 1,000 changes.
-pub const AGE: Micros = 24 * 3_600 * SECOND;
-/// So many at most: 30 bytes each.
-pub const MOST: usize = 4_096;
+/// The newest records up to this number are kept whatever their age: nothing newer may come for days.
+pub const MIN_RECORDS: usize = 1_024;
+/// Records beyond `MIN_RECORDS` are kept for a day, in which a deployment of the size to design for has 1,000 changes.
+pub const RECORD_LIFETIME: Micros = 24 * 3_600 * SECOND;
+/// At most this many records are kept; each takes 30 bytes.
+pub const MAX_RECORDS: usize = 4_096;
 
-/// How a text was sent: the same text is another call as a change than as a whole.
+/// The call that a text came with. The same text sent with the other call is a different change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
     Replace = 0,
     Modify = 1,
 }
 
-/// XXH3 with 128 bits, whose values are the same in every release of it since 0.8.0. It guards against chance, not
-/// against an operator who wants two texts of theirs to be taken for one.
+/// XXH3 with 128 bits, whose values have been the same in every release since 0.8.0. It guards against accidental
+/// collisions, not against an operator who crafts two texts with one digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest([u8; 16]);
 
 impl Digest {
+    /// Digest of a configuration or of a change to one.
     pub fn of_text(kind: ChangeKind, text: &[u8]) -> Digest {
         let mut hash = Xxh3::new();
         hash.update(&[kind as u8]);
@@ -34,11 +35,11 @@
         Digest(hash.digest128().to_le_bytes())
     }
 
-    /// Of a roll-out order; lengths keep the names apart.
-    pub fn of_order(service: &str, target: &str, period: Micros) -> Digest {
+    /// Digest of a roll-out order. Each name is preceded by its length, so that no two pairs of names hash alike.
+    pub fn of_order(service: &str, target_version: &str, period: Micros) -> Digest {
         let mut hash = Xxh3::new();
         hash.update(&period.to_le_bytes());
-        for name in [service, target] {
+        for name in [service, target_version] {
             hash.update(&(name.len() as u64).to_le_bytes());
             hash.update(name.as_bytes());
         }
@@ -47,55 +48,58 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Change {
+struct ChangeRecord {
     digest: Digest,
-    /// When it was taken, by the ordered clock.
-    at: Micros,
+    /// Time by the replicated clock.
+    applied_at: Micros,
 }
 
-/// Whether a change on a version that is not the current one was taken.
+/// What the records say about a change whose base is not the current version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
-    /// This one was.
-    Taken,
-    /// Another one was, on the same version.
-    Lost,
-    /// That version was never in force, or so long ago that it is forgotten.
+pub enum RecordedChange {
+    /// This change was applied.
+    Same,
+    /// Another change was applied on top of the same version.
+    Other,
+    /// The version was never in force, or its record has been dropped.
     Unknown,
 }
 
-/// Versions only rise, so that on each of them one change was taken at most: by its base.
+/// Records by base version. Versions only rise, so at most one change is applied on top of each.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken(BTreeMap<ConfigVersion, Change>);
+pub struct IdempotencyRecords(BTreeMap<ConfigVersion, ChangeRecord>);
 
-impl Taken {
-    pub fn known(&self, base: ConfigVersion, digest: impl FnOnce() -> Digest) -> Known {
+impl IdempotencyRecords {
+    /// Looks up a change on top of `base`; its digest is computed only if there is a record to compare it with.
+    pub fn lookup(&self, base: ConfigVersion, digest: impl FnOnce() -> Digest) -> RecordedChange {
         match self.0.get(&base) {
-            Some(change) if change.digest == digest() => Known::Taken,
-            Some(_) => Known::Lost,
-            None => Known::Unknown,
+            Some(record) if record.digest == digest() => RecordedChange::Same,
+            Some(_) => RecordedChange::Other,
+            None => RecordedChange::Unknown,
         }
     }
 
-    /// Notes a change that is taken now, on top of a base above all before it, and forgets what is out of date.
-    pub fn note(&mut self, base: ConfigVersion, digest: Digest, at: Micros) {
-        self.0.insert(base, Change { digest, at });
-        let old = |oldest: &Change| at - oldest.at > AGE;
-        while self.0.len() > MOST
-            || self.0.len() > LEAST && self.0.first_key_value().is_some_and(|(_, oldest)| old(oldest))
+    /// Records a change that is applied now and drops expired records. `base` must be above all bases recorded before.
+    pub fn record(&mut self, base: ConfigVersion, digest: Digest, now: Micros) {
+        self.0.insert(base, ChangeRecord { digest, applied_at: now });
+        let expired = |oldest: &ChangeRecord| now - oldest.applied_at > RECORD_LIFETIME;
+        while self.0.len() > MAX_RECORDS
+            || self.0.len() > MIN_RECORDS
+                && self.0.first_key_value().is_some_and(|(_, oldest)| expired(oldest))
         {
             self.0.pop_first();
         }
     }
 
-    /// Whether what was taken before the first of these, by a clock that began then, is out of date too.
-    pub fn supersedes(&self, now: Micros) -> bool {
-        self.0.len() >= MOST || self.0.len() >= LEAST && now > AGE
+    /// Whether every change that was applied before the first of these records has expired too. The clock began when
+    /// the first record was made.
+    pub fn supersedes_earlier(&self, now: Micros) -> bool {
+        self.0.len() >= MAX_RECORDS || self.0.len() >= MIN_RECORDS && now > RECORD_LIFETIME
     }
 
-    /// Whether a state that came may hold this.
-    pub fn sound(&self, now: Micros) -> bool {
-        self.0.len() <= MOST && self.0.values().all(|change| (0..=now).contains(&change.at))
+    /// Whether a snapshot taken at `now` may contain these records.
+    pub fn is_valid(&self, now: Micros) -> bool {
+        self.0.len() <= MAX_RECORDS && self.0.values().all(|record| (0..=now).contains(&record.applied_at))
     }
 
     pub fn len(&self) -> usize {
--- a/crates/control-state/src/recent_orders.rs
+++ b/crates/control-state/src/recent_orders.rs
@@ -1,5 +1,5 @@
-//! Orders (of roll-outs) that were acknowledged lately: they bear no number, so that only their age tells a repeat from
-//! a new wish, and age is told by the ordered clock.
+//! Roll-out orders that were acknowledged recently. Orders bear no sequence number, so only the time since the first
+//! one tells a repeat from a new order; that time is measured by the replicated clock.
 
 use std::collections::VecDeque;
 
@@ -8,42 +8,43 @@
 
 use crate::idempotency::Digest;
 
-/// Eight are under way at once; so many are acknowledged within no guard.
-pub const MOST: usize = 256;
+/// Eight orders are in progress at once; this many are never acknowledged within one repeat window.
+pub const MAX_ORDERS: usize = 256;
 
-/// Where nothing else is told: twice the `AckS` of 5 s, for which callers repeat an order at most.
-pub const GUARD: Micros = 10 * SECOND;
-/// A longer one is a slip of the pen.
-pub const LONGEST_GUARD: Micros = 600 * SECOND;
+/// Used for commands without a timestamp and before settings are known: twice the default of the setting `AckS`
+/// (5 s), for which callers repeat an order at most.
+pub const DEFAULT_REPEAT_WINDOW: Micros = 10 * SECOND;
+/// A longer window is taken for a mistake in the settings.
+pub const MAX_REPEAT_WINDOW: Micros = 600 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Order {
+struct AcknowledgedOrder {
     digest: Digest,
-    /// When it was first acknowledged.
-    at: Micros,
+    /// Time of the first acknowledgement, by the replicated clock.
+    acknowledged_at: Micros,
 }
 
 /// Oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Orders(VecDeque<Order>);
+pub struct RecentOrders(VecDeque<AcknowledgedOrder>);
 
-impl Orders {
-    /// Whether an order at `at` is a repeat of one that was acknowledged within `guard` before it.
-    pub fn repeats(&self, digest: Digest, at: Micros, guard: Micros) -> bool {
-        self.0.iter().any(|order| order.digest == digest && at - order.at < guard)
+impl RecentOrders {
+    /// Whether an order at `now` repeats one that was acknowledged less than `repeat_window` before.
+    pub fn is_repeat(&self, digest: Digest, now: Micros, repeat_window: Micros) -> bool {
+        self.0.iter().any(|order| order.digest == digest && now - order.acknowledged_at < repeat_window)
     }
 
-    /// Notes one that is acknowledged and no repeat, and forgets those that nobody repeats any more.
-    pub fn note(&mut self, digest: Digest, at: Micros, guard: Micros) {
-        self.0.retain(|order| order.digest != digest && at - order.at < guard);
-        self.0.push_back(Order { digest, at });
-        while self.0.len() > MOST {
+    /// Records a new order that is acknowledged now, and drops those whose repeat window is over.
+    pub fn record(&mut self, digest: Digest, now: Micros, repeat_window: Micros) {
+        self.0.retain(|order| order.digest != digest && now - order.acknowledged_at < repeat_window);
+        self.0.push_back(AcknowledgedOrder { digest, acknowledged_at: now });
+        while self.0.len() > MAX_ORDERS {
             self.0.pop_front();
         }
     }
 
-    /// Whether a state that came may hold this.
-    pub fn sound(&self, now: Micros) -> bool {
-        self.0.len() <= MOST && self.0.iter().all(|order| (0..=now).contains(&order.at))
+    /// Whether a snapshot taken at `now` may contain these orders.
+    pub fn is_valid(&self, now: Micros) -> bool {
+        self.0.len() <= MAX_ORDERS && self.0.iter().all(|order| (0..=now).contains(&order.acknowledged_at))
     }
 }
--- a/crates/control-state/src/rollout.rs
+++ b/crates/control-state/src/rollout.rs
@@ -1,38 +1,41 @@
-//! Rollout (of a new version): which version of a service is in service, which is on trial, and what became
-//! of the last order.
+//! Roll-outs of new versions: which version of a service is in service, which is on trial, and what became of the last
+//! order.
 
 use serde::{Deserialize, Serialize};
 use types::{Micros, SECOND};
 
 use crate::CommandOutcome;
 
-/// Under form 1: for so long after a trial was reverted, an order of the same version is taken for a late repeat of the
-/// first. Callers repeat orders for 5 s at most; twice that covers calls held up on the way.
-const REPEAT_GUARD: Micros = 10 * SECOND;
+/// Under format 1, an order of a version that was reverted less than this ago is taken for a late repeat of the first
+/// order. Callers repeat orders for at most 5 s; twice that covers delayed calls.
+const REVERTED_REPEAT_WINDOW: Micros = 10 * SECOND;
 
+/// State of the last roll-out order of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutState {
     InProgress,
     Completed,
+    /// The version on trial was rolled back.
     Reverted,
 }
 
+/// One service: its version in service and its last roll-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rollout {
     pub service: String,
-    /// The version in service; none where no instance was seen before the first order.
+    /// The version in service; `None` if no instance was seen before the first order.
     pub current_version: Option<String>,
-    /// Of the last order; none before the first.
+    /// State of the last order; `None` before the first.
     pub state: Option<RolloutState>,
-    /// Of the last order; empty before the first.
+    /// Version of the last order; empty before the first.
     pub target_version: String,
-    /// Build number of the last trial; rises with each trial over all services, from 2. 0 before the first.
+    /// Build number of the last trial; 0 before the first. Numbers are assigned across all services, from 2 on.
     pub build_number: u32,
-    /// Build number of the version in service: 1 at first, the trial's after completion.
+    /// Build number of the version in service: 1 at first, that of the trial after it has completed.
     pub current_build_number: u32,
-    /// How long the operator gives the last order.
+    /// Time that the operator gave the last order to complete in.
     pub period: Micros,
-    /// Local: when this node first knew of the state as it is now. A node that starts late knows later.
+    /// Local time at which this node learned of the present `state`; later on a node that started later.
     pub state_since: Micros,
 }
 
@@ -50,55 +53,59 @@
         }
     }
 
-    /// The build number of a version's instances, or none where they must get nothing: only the version in
-    /// service, and the one on trial while its trial lasts, may be sent requests.
+    /// The build number of a version's instances, or `None` if they must get no requests: only the version in service
+    /// may, and the one on trial while its trial lasts.
     pub fn build_number_of(&self, version: &str) -> Option<u32> {
         if self.current_version.as_deref() == Some(version) {
             return Some(self.current_build_number);
         }
-        let on_trial = self.state == Some(RolloutState::InProgress) && self.target_version == version;
-        on_trial.then_some(self.build_number)
+        let in_trial = self.state == Some(RolloutState::InProgress) && self.target_version == version;
+        in_trial.then_some(self.build_number)
     }
 
     pub fn is_in_progress(&self) -> bool {
         self.state == Some(RolloutState::InProgress)
     }
 
-    /// Whether `target` was reverted so lately that an order of it must be a repeat of the first one. A node
-    /// that learnt of the end late takes it for later than it was, so the guard only grows. Under form 1 only.
-    pub(crate) fn just_reverted(&self, now: Micros, target: &str) -> bool {
+    /// Whether `version` was reverted so recently that an order of it is taken for a repeat of the first one. Used
+    /// under format 1 only. A node that learned of the end late takes it for later than it was, so its window is
+    /// longer, never shorter.
+    pub(crate) fn was_just_reverted(&self, now: Micros, version: &str) -> bool {
         self.state == Some(RolloutState::Reverted)
-            && self.target_version == target
-            && now - self.state_since < REPEAT_GUARD
+            && self.target_version == version
+            && now - self.state_since < REVERTED_REPEAT_WINDOW
     }
 
-    pub(crate) fn judged_end(&self, number: u32, completed: bool) -> Result<(), CommandOutcome> {
-        let wanted = if completed { RolloutState::Completed } else { RolloutState::Reverted };
+    /// Whether a verdict on the trial `number` ends it now; the error says why not.
+    pub(crate) fn check_verdict(&self, number: u32, completed: bool) -> Result<(), CommandOutcome> {
+        let end_state = if completed { RolloutState::Completed } else { RolloutState::Reverted };
         match self.state {
             Some(RolloutState::InProgress) if self.build_number == number => Ok(()),
-            Some(state) if self.build_number == number && state == wanted => Err(CommandOutcome::Repeated),
+            Some(state) if self.build_number == number && state == end_state => Err(CommandOutcome::Repeated),
             _ => {
                 Err(CommandOutcome::Conflict(format!("trial {number} of {} is not under way", self.service)))
             }
         }
     }
 
-    pub(crate) fn begin(&mut self, now: Micros, target: String, number: u32, period: Micros) {
+    pub(crate) fn start_trial(
+        &mut self, now: Micros, target_version: String, build_number: u32, period: Micros,
+    ) {
         self.state = Some(RolloutState::InProgress);
-        self.target_version = target;
-        self.build_number = number;
+        self.target_version = target_version;
+        self.build_number = build_number;
         self.period = period;
         self.state_since = now;
     }
 
-    /// The version in service was ordered: completed, and nothing was tried.
-    pub(crate) fn stay(&mut self, now: Micros) {
+    /// The version in service was ordered: the order is completed without a trial.
+    pub(crate) fn complete_without_trial(&mut self, now: Micros) {
         self.target_version = self.current_version.clone().unwrap_or_default();
         self.state = Some(RolloutState::Completed);
         self.state_since = now;
     }
 
-    pub(crate) fn end(&mut self, now: Micros, completed: bool) {
+    pub(crate) fn end_trial(&mut self, now: Micros, completed: bool) {
         self.state = Some(if completed { RolloutState::Completed } else { RolloutState::Reverted });
         if completed {
             self.current_version = Some(self.target_version.clone());
@@ -107,7 +114,8 @@
         self.state_since = now;
     }
 
-    pub(crate) fn found(&mut self, version: String) {
+    /// Sets the version that was in service before any order.
+    pub(crate) fn set_initial_version(&mut self, version: String) {
         self.current_version = Some(version);
     }
 }
--- a/crates/playhouse/src/house.rs
+++ b/crates/playhouse/src/house.rs
@@ -315,7 +315,7 @@
     }
 
     /// A word as it goes to a node, in the form that both read. None: the word is of a newer form than that, and
-    /// is not sent; who says it must not count on it before all known nodes read it (`ControlState::agreed`).
+    /// is not sent; who says it must not count on it before all known nodes read it (`ControlState::agreed_format`).
     pub fn letter(&self, to: NodeAddress, word: Word) -> Option<Letter> {
         let form = self.shared(to);
         let carrier = match word {
