--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,6 +1,8 @@
-//! RetryBudget (shared budgets): each foyer's part of what all foyers together may spend: further tries to a service
-//! in every sliding window, and a part of any other whole. No I/O, and no messages: the parts are such that
-//! their sum holds whoever is cut off, dies, starts or gets the traffic; `docs/purse.md` has the argument.
+//! Retry budgets shared by all gateways: each gateway may use its part of the retries to a service in every sliding
+//! window, or of any other amount that is limited for all gateways together.
+//!
+//! No I/O and no messages between gateways. The parts are chosen so that their sum stays within the budget whichever
+//! gateways are cut off, stop, start or receive the traffic; `docs/budgets.md` has the argument.
 
 mod gateway_counts;
 mod window;
@@ -9,94 +11,100 @@
 use types::{Micros, SECOND};
 
 pub use gateway_counts::GatewayCounts;
-use window::Window;
+use window::SlidingWindow;
 
-/// Most services with an account; for others nothing may be spent.
-const MOST: usize = 1024;
-/// A new life takes nothing of the slack for a window and this: what an earlier life at its place spent is not
-/// known, and the others have to hear that there is one more to share with.
-const SETTLING: Micros = 5 * SECOND;
+/// Maximum number of services with a window; to other services no retries are allowed.
+const MAX_SERVICES: usize = 1024;
+/// The shortest window that is kept to.
+const MIN_WINDOW: Micros = SECOND / 10;
+/// After its start, a gateway uses nothing of the slack for one window and this time: what an earlier run at its
+/// address spent is unknown, and the other gateways must learn that there is one more to share with.
+const SETTLING_TIME: Micros = 5 * SECOND;
 
-/// Further tries of one foyer, per service.
+/// The retries that one gateway may send, per service.
 #[derive(Debug)]
 pub struct RetryBudget {
+    /// Retries allowed per request.
     ratio: f64,
+    /// Retries allowed in any window beyond the ratio, for all gateways together.
     slack: f64,
-    span: Micros,
-    /// Since when this life runs: known by its first event.
-    born: Option<Micros>,
-    party: GatewayCounts,
-    accounts: IndexMap<String, Window>,
+    window_length: Micros,
+    /// Time of the first event since this gateway was started.
+    started_at: Option<Micros>,
+    gateway_counts: GatewayCounts,
+    /// By service.
+    windows: IndexMap<String, SlidingWindow>,
 }
 
 impl RetryBudget {
-    /// `ratio` of the requests and `slack` are for all foyers together, in any `window` (microseconds).
+    /// In any `window`, all gateways together may send `ratio` times the requests plus `slack` retries. A ratio or
+    /// slack that is negative or not finite counts as 0.
     pub fn new(ratio: f64, slack: f64, window: Micros) -> RetryBudget {
-        let span = window.max(SECOND / 10);
-        let (ratio, slack) = (sound(ratio), sound(slack));
         RetryBudget {
-            ratio,
-            slack,
-            span,
-            born: None,
-            party: GatewayCounts::default(),
-            accounts: IndexMap::new(),
+            ratio: non_negative(ratio),
+            slack: non_negative(slack),
+            window_length: window.max(MIN_WINDOW),
+            started_at: None,
+            gateway_counts: GatewayCounts::default(),
+            windows: IndexMap::new(),
         }
     }
 
-    /// How many foyers are known now, this one counted. To be told whenever it changes; telling it again is
-    /// harmless. `may` tells it too.
+    /// Sets how many gateways are known, including this one. Must be called whenever that changes; calling it again
+    /// with the same number is harmless. `may_retry` does the same.
     pub fn set_gateway_count(&mut self, now: Micros, count: usize) {
-        self.born.get_or_insert(now);
-        self.party.record(now, count);
+        self.started_at.get_or_insert(now);
+        self.gateway_counts.record(now, count);
     }
 
-    /// A request that a client sent for `service`, at its first choice of an instance, sent on or not. Further
-    /// tries are none.
+    /// Records a request of a client to `service` when its first instance is chosen, whether or not it is sent on.
+    /// Retries are not requests.
     pub fn record_request(&mut self, now: Micros, service: &str) {
-        if let Some(account) = self.account(now, service) {
-            account.request(now);
+        if let Some(window) = self.window(now, service) {
+            window.record_request(now);
         }
     }
 
-    /// Whether one more further try may be sent now, while `foyers` are known, this one counted. Asking spends
-    /// nothing: `spent` does.
-    pub fn may_retry(&mut self, now: Micros, service: &str, foyers: usize) -> bool {
-        self.set_gateway_count(now, foyers);
+    /// Whether one more retry may be sent now, with `gateways` known including this one. This spends nothing;
+    /// `record_retry` does.
+    pub fn may_retry(&mut self, now: Micros, service: &str, gateways: usize) -> bool {
+        self.set_gateway_count(now, gateways);
         self.may_retry_now(now, service)
     }
 
-    /// The same, with as many foyers as were told last.
+    /// As `may_retry`, with the number of gateways that was set last.
     pub fn may_retry_now(&mut self, now: Micros, service: &str) -> bool {
-        let settled = self.born.is_some_and(|born| now - born >= self.span + SETTLING);
-        let slack = if settled { self.party.share_of(now, self.slack) } else { 0.0 };
+        let is_settled =
+            self.started_at.is_some_and(|started_at| now - started_at >= self.window_length + SETTLING_TIME);
+        let slack = if is_settled { self.gateway_counts.share_of(now, self.slack) } else { 0.0 };
         let ratio = self.ratio;
-        self.account(now, service).is_some_and(|account| account.room(now, ratio, slack))
+        self.window(now, service).is_some_and(|window| window.has_room(now, ratio, slack))
     }
 
-    /// A further try was sent, wherever it came to.
+    /// Records a retry that was sent, whatever became of it.
     pub fn record_retry(&mut self, now: Micros, service: &str) {
-        if let Some(account) = self.account(now, service) {
-            account.spent(now);
+        if let Some(window) = self.window(now, service) {
+            window.record_retry(now);
         }
     }
 
-    fn account(&mut self, now: Micros, service: &str) -> Option<&mut Window> {
-        self.born.get_or_insert(now);
-        if !self.accounts.contains_key(service) {
-            if self.accounts.len() >= MOST {
-                self.accounts.retain(|_, account| !account.is_idle(now));
+    /// The window of a service, added if there is none yet. `None` if there are too many services already.
+    fn window(&mut self, now: Micros, service: &str) -> Option<&mut SlidingWindow> {
+        self.started_at.get_or_insert(now);
+        if !self.windows.contains_key(service) {
+            if self.windows.len() >= MAX_SERVICES {
+                self.windows.retain(|_, window| !window.is_idle(now));
             }
-            if self.accounts.len() >= MOST {
+            if self.windows.len() >= MAX_SERVICES {
                 return None;
             }
-            self.accounts.insert(service.to_string(), Window::new(self.span, now));
+            self.windows.insert(service.to_string(), SlidingWindow::new(self.window_length, now));
         }
-        self.accounts.get_mut(service)
+        self.windows.get_mut(service)
     }
 }
 
-/// A setting that is not a number of at least 0 allows nothing.
-fn sound(setting: f64) -> f64 {
+/// A setting that is negative or not finite allows nothing.
+fn non_negative(setting: f64) -> f64 {
     if setting.is_finite() { setting.max(0.0) } else { 0.0 }
 }
--- a/crates/budgets/src/window.rs
+++ b/crates/budgets/src/window.rs
@@ -1,92 +1,96 @@
-//! Requests and further tries of one service at one foyer, in slots, and the room that every sliding window
-//! leaves.
+//! Requests and retries of one service at one gateway, counted in time slots, and whether every sliding window leaves
+//! room for one more retry.
 
 use types::Micros;
 
-/// Slots in one span.
-const SLOTS: i64 = 50;
-/// Slots of room at either end of each window: requests are seen later than clients send them, further tries
-/// arrive later than they are sent, and a window begins anywhere in a slot.
-const GUARD: i64 = 2;
-/// Slots kept: two spans back, and the guards.
-const KEPT: i64 = 2 * SLOTS + 3 * GUARD + 2;
+/// Slots in one window.
+const SLOTS_PER_WINDOW: i64 = 50;
+/// Slots of tolerance at either end of each window: requests are seen later than clients send them, retries arrive
+/// later than they are sent, and a window may begin anywhere in a slot.
+const GUARD_SLOTS: i64 = 2;
+/// Slots that are kept: two windows back, and the guards.
+const KEPT_SLOTS: i64 = 2 * SLOTS_PER_WINDOW + 3 * GUARD_SLOTS + 2;
 
-/// Weights of the three windows of which the rule takes the one with most requests: that window, the one
-/// before, the one half a window before. A weighted mean is never above the largest, and unlike it, it adds
-/// up over foyers.
-const SAME: f64 = 0.25;
-const BEFORE: f64 = 0.25;
-const HALF_BEFORE: f64 = 0.5;
+// The rule allows retries for the requests of the busiest of three windows: the same one, the one before, and the one
+// half a window before. A weighted mean of the three is never above their maximum, and unlike the maximum it adds up
+// over gateways.
+const SAME_WINDOW_WEIGHT: f64 = 0.25;
+const PREVIOUS_WINDOW_WEIGHT: f64 = 0.25;
+const HALF_WINDOW_BEFORE_WEIGHT: f64 = 0.5;
+
+/// Total count up to the end of each slot, by slot number modulo `KEPT_SLOTS`.
+type RunningTotals = [u64; KEPT_SLOTS as usize];
 
 #[derive(Debug)]
-pub(crate) struct Window {
-    slot: Micros,
-    /// Number of the current slot.
-    current: i64,
-    /// Requests and further tries until the end of each slot, by slot number modulo `KEPT`.
-    requests: [u64; KEPT as usize],
-    spent: [u64; KEPT as usize],
+pub(crate) struct SlidingWindow {
+    slot_length: Micros,
+    /// Number of the slot of the last event.
+    current_slot: i64,
+    requests: RunningTotals,
+    retries: RunningTotals,
 }
 
-impl Window {
-    pub fn new(span: Micros, now: Micros) -> Window {
-        let slot = (span / SLOTS).max(1);
-        let current = now.div_euclid(slot);
-        Window { slot, current, requests: [0; KEPT as usize], spent: [0; KEPT as usize] }
+impl SlidingWindow {
+    pub fn new(window_length: Micros, now: Micros) -> SlidingWindow {
+        let slot_length = (window_length / SLOTS_PER_WINDOW).max(1);
+        let current_slot = now.div_euclid(slot_length);
+        let no_events = [0; KEPT_SLOTS as usize];
+        SlidingWindow { slot_length, current_slot, requests: no_events, retries: no_events }
     }
 
-    pub fn request(&mut self, now: Micros) {
+    pub fn record_request(&mut self, now: Micros) {
         self.advance(now);
-        self.requests[index(self.current)] += 1;
+        self.requests[index(self.current_slot)] += 1;
     }
 
-    pub fn spent(&mut self, now: Micros) {
+    pub fn record_retry(&mut self, now: Micros) {
         self.advance(now);
-        self.spent[index(self.current)] += 1;
+        self.retries[index(self.current_slot)] += 1;
     }
 
-    /// Whether one more further try at `now` keeps every window that ends now or later within
-    /// `ratio` x requests + `slack`. Windows that end later are asked again at each later try.
-    pub fn room(&mut self, now: Micros, ratio: f64, slack: f64) -> bool {
+    /// Whether one more retry at `now` keeps every window that ends now or later within `ratio` x requests + `slack`.
+    /// Windows that end later are checked again at each later retry.
+    pub fn has_room(&mut self, now: Micros, ratio: f64, slack: f64) -> bool {
         self.advance(now);
-        let now = self.current;
-        // A window that began anywhere in slot `from` holds at most the tries of `from` and later, and at least
-        // the requests of the slots between the guards.
-        (now - SLOTS - GUARD..=now).all(|from| {
-            let tries = between(&self.spent, from, now) + 1;
-            let requests = |first: i64, after: i64| {
-                between(&self.requests, first + GUARD, (after - GUARD).min(now)) as f64
+        let last = self.current_slot;
+        // A window that begins anywhere in slot `first` contains at most the retries of `first` and later, and at
+        // least the requests of the slots between the guards.
+        (last - SLOTS_PER_WINDOW - GUARD_SLOTS..=last).all(|first| {
+            let retries = count_between(&self.retries, first, last) + 1;
+            let requests = |start: i64, end: i64| {
+                count_between(&self.requests, start + GUARD_SLOTS, (end - GUARD_SLOTS).min(last)) as f64
             };
-            let covered = SAME * requests(from, from + SLOTS)
-                + BEFORE * requests(from - SLOTS, from)
-                + HALF_BEFORE * requests(from - SLOTS / 2, from + SLOTS / 2);
-            tries as f64 <= ratio * covered + slack
+            let half_window = SLOTS_PER_WINDOW / 2;
+            let covering_requests = SAME_WINDOW_WEIGHT * requests(first, first + SLOTS_PER_WINDOW)
+                + PREVIOUS_WINDOW_WEIGHT * requests(first - SLOTS_PER_WINDOW, first)
+                + HALF_WINDOW_BEFORE_WEIGHT * requests(first - half_window, first + half_window);
+            retries as f64 <= ratio * covering_requests + slack
         })
     }
 
-    /// Whether nothing in it counts any more.
+    /// Whether the last event is so long ago that no slot matters any more.
     pub fn is_idle(&self, now: Micros) -> bool {
-        now.div_euclid(self.slot) - self.current > KEPT
+        now.div_euclid(self.slot_length) - self.current_slot > KEPT_SLOTS
     }
 
-    /// Slots between the last event and now end as they were.
+    /// Makes the slot of `now` the current one. Slots since the last event get its totals.
     fn advance(&mut self, now: Micros) {
-        let now = now.div_euclid(self.slot);
-        let last = index(self.current);
-        let (requests, spent) = (self.requests[last], self.spent[last]);
-        let from = (self.current + 1).max(now - KEPT + 1);
-        for slot in from..=now {
-            (self.requests[index(slot)], self.spent[index(slot)]) = (requests, spent);
+        let new_slot = now.div_euclid(self.slot_length);
+        let last = index(self.current_slot);
+        let (requests, retries) = (self.requests[last], self.retries[last]);
+        let first_skipped = (self.current_slot + 1).max(new_slot - KEPT_SLOTS + 1);
+        for slot in first_skipped..=new_slot {
+            (self.requests[index(slot)], self.retries[index(slot)]) = (requests, retries);
         }
-        self.current = self.current.max(now);
+        self.current_slot = self.current_slot.max(new_slot);
     }
 }
 
 fn index(slot: i64) -> usize {
-    slot.rem_euclid(KEPT) as usize
+    slot.rem_euclid(KEPT_SLOTS) as usize
 }
 
-/// What came in slots `first` to `last`.
-fn between(until: &[u64; KEPT as usize], first: i64, last: i64) -> u64 {
-    if last < first { 0 } else { until[index(last)] - until[index(first - 1)] }
+/// Events in the slots `first` to `last`, both included.
+fn count_between(totals: &RunningTotals, first: i64, last: i64) -> u64 {
+    if last < first { 0 } else { totals[index(last)] - totals[index(first - 1)] }
 }
