--- a/crates/load/src/trial.rs
+++ b/crates/load/src/trial.rs
@@ -1,22 +1,24 @@
-//! Load (on a version on trial): which of its instances its requests go to: so few that each bears what it will bear in
-//! service. Guards against a version that fails under load only: a trial gets a small part of the requests, and
-//! spread over all its instances they never fill one. All gateways work it out alike, from the list of instances; no
-//! messages.
+//! Which instances of a version on trial receive its requests: few enough that each bears the load that it will bear
+//! in service. A trial gets a small part of the requests; spread over all of its instances, they would never fill one,
+//! and a version that fails only under load would not be noticed.
+//!
+//! Every gateway computes the same result from the list of instances; no messages are needed.
 
-use crate::share::{START, fold, stir};
+use crate::share::{FNV_OFFSET_BASIS, finalize, fnv1a};
 
-/// How many of `instances` get all of the trial's requests, where `part` of the service's go to it.
-fn loaded(part: f64, instances: usize) -> usize {
-    ((part.clamp(0.0, 1.0) * instances as f64).ceil() as usize).max(1)
+/// How many of `instances` receive the trial's requests, if the trial gets the fraction `request_share` of the
+/// service's requests. At least 1.
+fn loaded_count(request_share: f64, instances: usize) -> usize {
+    ((request_share.clamp(0.0, 1.0) * instances as f64).ceil() as usize).max(1)
 }
 
-/// Of the names of a trial's instances, for each whether it is among those that are loaded: those that a hash of
-/// their names ranks first. One that goes moves one place.
-pub fn loaded_instances(part: f64, instances: &[&str]) -> Vec<bool> {
+/// For each of a trial's instances, given by name, whether it receives requests: those whose names have the lowest
+/// hashes do. If one instance goes away, at most one other takes its place.
+pub fn loaded_instances(request_share: f64, instances: &[&str]) -> Vec<bool> {
     let ranks: Vec<(u64, &str)> =
-        instances.iter().map(|name| (stir(fold(START, name.as_bytes())), *name)).collect();
+        instances.iter().map(|name| (finalize(fnv1a(FNV_OFFSET_BASIS, name.as_bytes())), *name)).collect();
     let mut sorted = ranks.clone();
     sorted.sort_unstable();
-    let last = sorted.get(loaded(part, sorted.len()) - 1);
-    ranks.iter().map(|rank| last.is_none_or(|last| rank <= last)).collect()
+    let last_loaded = sorted.get(loaded_count(request_share, sorted.len()) - 1);
+    ranks.iter().map(|rank| last_loaded.is_none_or(|last| rank <= last)).collect()
 }
