--- a/crates/configuration/src/faults.rs
+++ b/crates/configuration/src/faults.rs
@@ -1,33 +1,35 @@
-//! Faults (of a configuration): every one with its place and what was expected there, bounded in number.
+//! Faults of a configuration: each with its place and what was expected there. Their number is bounded.
 
 use std::fmt;
 
-/// As many faults are told as an operator reads at once; the rest are counted.
+/// As many faults are listed as an operator reads at once; further ones are only counted.
 pub const MAX_FAULTS: usize = 32;
-/// What was sent is quoted up to so many characters.
-const MAX_QUOTE: usize = 80;
+/// Longest quotation of what was sent, in characters.
+const MAX_QUOTED_CHARS: usize = 80;
 
+/// One fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Such as `ResourceSet[3].SpecBody.MaxAttempts`; empty for the text itself.
+    /// Path of the value, such as `ResourceSet[3].SpecBody.MaxAttempts`; empty for the text as a whole.
     pub place: String,
     pub expected: String,
 }
 
-/// Never empty where it stands in an `Err`.
+/// The faults of a text; never empty in an `Err`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
 pub struct Faults {
     pub list: Vec<Fault>,
-    /// Found beyond those listed.
+    /// Number of faults beyond those listed.
     pub omitted: usize,
 }
 
 impl Faults {
+    /// A list of one fault.
     pub fn single(place: impl Into<String>, expected: impl Into<String>) -> Faults {
         Faults { list: vec![Fault { place: place.into(), expected: expected.into() }], omitted: 0 }
     }
 
-    /// Place and expectation are written out only where the fault is listed.
+    /// Adds a fault. Place and expectation are formatted only if the fault is listed.
     pub(crate) fn add(&mut self, place: impl fmt::Display, expected: impl fmt::Display) {
         if self.list.len() < MAX_FAULTS {
             self.list.push(Fault { place: place.to_string(), expected: expected.to_string() });
@@ -40,11 +42,11 @@
         self.list.is_empty()
     }
 
-    /// The body of an answer 400.
+    /// The body of a response with status 400.
     pub fn to_json(&self) -> Vec<u8> {
         let mut out = b"{\"Faults\":[".to_vec();
-        for (at, fault) in self.list.iter().enumerate() {
-            out.extend_from_slice(if at == 0 { b"{\"Place\":" } else { b",{\"Place\":" });
+        for (index, fault) in self.list.iter().enumerate() {
+            out.extend_from_slice(if index == 0 { b"{\"Place\":" } else { b",{\"Place\":" });
             crate::json::write_string(&mut out, &fault.place);
             out.extend_from_slice(b",\"Expected\":");
             crate::json::write_string(&mut out, &fault.expected);
@@ -57,8 +59,8 @@
 
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, fault) in self.list.iter().enumerate() {
-            if at > 0 {
+        for (index, fault) in self.list.iter().enumerate() {
+            if index > 0 {
                 f.write_str("; ")?;
             }
             let place = if fault.place.is_empty() { "text" } else { fault.place.as_str() };
@@ -71,9 +73,9 @@
     }
 }
 
-/// What was sent, cut to a bounded length and in one line.
+/// Quotes what was sent, on one line and truncated.
 pub(crate) fn quoted(text: &str) -> String {
-    match text.char_indices().nth(MAX_QUOTE) {
+    match text.char_indices().nth(MAX_QUOTED_CHARS) {
         Some((end, _)) => format!("'{}...'", text[..end].escape_debug()),
         None => format!("'{}'", text.escape_debug()),
     }
--- a/crates/configuration/src/json.rs
+++ b/crates/configuration/src/json.rs
@@ -1,5 +1,5 @@
-//! JSON within bounds: depth and size are checked before anything is built, and what is written comes out the
-//! same at every node, whatever order a map keeps.
+//! JSON within limits: size and depth are checked before any value is built. What is encoded is the same at every node,
+//! whatever the order of a map.
 
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
@@ -7,7 +7,7 @@
 use crate::faults::Faults;
 use crate::{MAX_BYTES, MAX_DEPTH};
 
-/// Guards the stack and the memory: values are built and dropped by recursion.
+/// Parses a text within the limits, which guard the memory and the stack: values are built and dropped recursively.
 pub fn parse(text: &[u8]) -> Result<OwnedValue, Faults> {
     if text.len() > MAX_BYTES {
         return Err(Faults::single("", format!("at most {MAX_BYTES} bytes; there are {}", text.len())));
@@ -15,63 +15,65 @@
     if exceeds_max_depth(text) {
         return Err(Faults::single("", format!("nested at most {MAX_DEPTH} deep")));
     }
-    let mut copy = text.to_vec();
-    simd_json::to_owned_value(&mut copy).map_err(|error| Faults::single("", format!("whole JSON; {error}")))
+    let mut buffer = text.to_vec();
+    simd_json::to_owned_value(&mut buffer).map_err(|error| Faults::single("", format!("whole JSON; {error}")))
 }
 
-/// Whether a text is nested deeper than is read; for other readers of JSON, whose stacks end as soon.
+/// Whether a text is nested deeper than `MAX_DEPTH`; also for other JSON parsers, whose stacks are as limited.
 pub fn exceeds_max_depth(text: &[u8]) -> bool {
-    depth(text) > MAX_DEPTH
+    nesting_depth(text) > MAX_DEPTH
 }
 
-fn depth(text: &[u8]) -> usize {
-    let (mut now, mut most, mut quoted, mut escaped) = (0usize, 0, false, false);
+/// The deepest nesting of objects and lists. The text need not be valid JSON.
+fn nesting_depth(text: &[u8]) -> usize {
+    let (mut depth, mut deepest, mut quoted, mut escaped) = (0usize, 0, false, false);
     for &byte in text {
         match byte {
             _ if escaped => escaped = false,
             b'\\' if quoted => escaped = true,
             b'"' => quoted = !quoted,
             b'{' | b'[' if !quoted => {
-                now += 1;
-                most = most.max(now);
+                depth += 1;
+                deepest = deepest.max(depth);
             }
-            b'}' | b']' if !quoted => now = now.saturating_sub(1),
+            b'}' | b']' if !quoted => depth = depth.saturating_sub(1),
             _ => {}
         }
     }
-    most
+    deepest
 }
 
-/// Compact, fields in the order of their names.
-pub fn written(value: &OwnedValue) -> Vec<u8> {
+/// Encodes a value without white space, with fields sorted by name.
+pub fn encode(value: &OwnedValue) -> Vec<u8> {
     let mut out = Vec::new();
-    write(&mut out, value);
+    encode_value(&mut out, value);
     out
 }
 
-fn write(out: &mut Vec<u8>, value: &OwnedValue) {
+/// Appends the encoding of a value.
+fn encode_value(out: &mut Vec<u8>, value: &OwnedValue) {
     match value {
         OwnedValue::Object(fields) => {
             let mut sorted: Vec<_> = fields.iter().collect();
             sorted.sort_by(|a, b| a.0.cmp(b.0));
             out.push(b'{');
-            for (at, (name, value)) in sorted.into_iter().enumerate() {
-                if at > 0 {
+            for (index, (name, value)) in sorted.into_iter().enumerate() {
+                if index > 0 {
                     out.push(b',');
                 }
                 write_string(out, name);
                 out.push(b':');
-                write(out, value);
+                encode_value(out, value);
             }
             out.push(b'}');
         }
         OwnedValue::Array(items) => {
             out.push(b'[');
-            for (at, item) in items.iter().enumerate() {
-                if at > 0 {
+            for (index, item) in items.iter().enumerate() {
+                if index > 0 {
                     out.push(b',');
                 }
-                write(out, item);
+                encode_value(out, item);
             }
             out.push(b']');
         }
@@ -80,6 +82,7 @@
     }
 }
 
+/// Encodes a string with quotes and escapes.
 pub fn write_string(out: &mut Vec<u8>, text: &str) {
     out.push(b'"');
     for byte in text.bytes() {
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,5 +1,6 @@
-//! Configuration (the operators' configuration): reads it, checks it whole, changes it by name, and finds the route of
-//! a request. No I/O. A bill that exists has passed every check, so nothing behind it has to ask again.
+//! The operators' configuration: parsing and validation, changes to single entries, and the route of a request.
+//!
+//! No I/O. A `Configuration` that exists has passed every check, so its users need not check again.
 
 mod change;
 mod faults;
@@ -14,37 +15,38 @@
 pub use json::exceeds_max_depth;
 pub use types::{ConfigVersion, Micros};
 
-/// The largest configuration or change that is read, in bytes. 310 routes take about 120 KB.
+/// The largest configuration or change that is accepted, in bytes. 310 routes take about 120 KB.
 pub const MAX_BYTES: usize = 8 << 20;
-/// The deepest nesting of objects and lists that is read; our own fields need 6. Guards the stack.
+/// The deepest nesting of objects and lists that is accepted, to guard the stack; the known fields need 6.
 pub const MAX_DEPTH: usize = 32;
 
-/// What a route's requests allow.
+/// What may be done with a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// May run more than once, so it may be retried.
     Safe,
-    /// Runs at most once per try.
+    /// Runs at most once for each time that the client sends it.
     Unsafe,
-    /// Large bodies; otherwise as `Unsafe`.
+    /// As `Unsafe`, with large bodies.
     Upload,
 }
 
 impl RouteKind {
-    /// Whether a request that may have run may be sent again.
+    /// Whether a request that may have run already may be sent again.
     pub fn is_idempotent(self) -> bool {
         self == RouteKind::Safe
     }
 }
 
-/// One service of a route, with its part of the route's requests.
+/// A service that a route sends requests to, with its share of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     pub service: Arc<str>,
-    /// At least 0; the weights of one route add up to more than 0, and to a finite number.
+    /// Not negative; the sum of a route's weights is positive and finite.
     pub weight: f64,
 }
 
+/// Matches requests by host and path prefix, and says how they are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     pub name: Arc<str>,
@@ -53,32 +55,34 @@
     /// Begins and ends with a slash.
     pub path_prefix: String,
     pub kind: RouteKind,
-    /// The longest that the operator wants a request held.
+    /// The longest that a request may be held.
     pub timeout: Micros,
-    /// Inside it an answer earns its full worth.
+    /// An answer within this time counts as on time.
     pub target_latency: Micros,
-    /// 0 is served first.
+    /// 0 is the highest priority.
     pub priority: u32,
-    /// One or more, in the operator's order.
+    /// At least one, in the operator's order.
     pub targets: Vec<Target>,
-    /// The largest number of instances that one try may be sent to; at least 1.
+    /// The largest number of instances that one request of a client may be sent to; at least 1.
     pub max_attempts: u32,
 }
 
+/// A service that routes may send requests to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
     pub name: Arc<str>,
-    /// Begins with a slash; visible ASCII only, so that it can stand in a request line as it is.
+    /// Begins with a slash and contains visible ASCII only, so that it can be used in a request line as it is.
     pub health_path: String,
-    /// What one instance accepts from all callers together.
+    /// Connections that one instance accepts from all callers together.
     pub max_connections: u32,
 }
 
+/// Limits on clients' requests and connections, for all routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     pub max_header_bytes: u64,
     pub max_body_bytes: u64,
-    /// How long a client may take to send a request's head.
+    /// How long a client may take to send the header of a request.
     pub header_timeout: Micros,
     /// How long a client's connection may stay idle.
     pub idle_timeout: Micros,
@@ -91,110 +95,116 @@
     pub routes: IndexMap<String, Route>,
     pub services: IndexMap<String, Service>,
     pub limits: Limits,
-    finder: routes::Finder,
-    text: Vec<u8>,
+    route_index: routes::RouteIndex,
+    /// As it was sent, or as changes made it.
+    json: Vec<u8>,
 }
 
 impl Configuration {
-    /// Reads a whole configuration; every fault is told, up to `MAX_FAULTS`.
+    /// Parses a whole configuration. The error contains every fault, up to `MAX_FAULTS` in full.
     pub fn parse(text: &[u8]) -> Result<Configuration, Faults> {
         let value = json::parse(text)?;
-        Configuration::built(&value, None, || text.to_vec())
+        Configuration::from_value(&value, None, || text.to_vec())
     }
 
-    /// As `read`; a version that is not above `above` is a fault beside the others.
-    pub fn parse_newer_than(text: &[u8], above: ConfigVersion) -> Result<Configuration, Faults> {
+    /// As `parse`; a version that is not above `current` is one more fault.
+    pub fn parse_newer_than(text: &[u8], current: ConfigVersion) -> Result<Configuration, Faults> {
         let value = json::parse(text)?;
-        Configuration::built(&value, Some(above), || text.to_vec())
+        Configuration::from_value(&value, Some(current), || text.to_vec())
     }
 
-    /// This configuration with the items of a change added, replaced or removed by kind and name, checked as
-    /// a whole. Its version must be above this one's. What is not named stays as it came, unknown fields
-    /// included.
+    /// This configuration with entries added, replaced or removed by kind and name, checked as a whole. The change's
+    /// version must be above this one's. Entries that it does not name stay as they were sent, unknown fields included.
     pub fn with_change(&self, text: &[u8]) -> Result<Configuration, Faults> {
-        let whole = change::merged(&self.text, text)?;
-        Configuration::of_whole(&whole, self.version)
+        let merged = change::merge(&self.json, text)?;
+        Configuration::from_merged(&merged, self.version)
     }
 
-    /// What a change makes where there is no configuration yet: the items that it brings must make a whole.
+    /// What a change makes if there is no configuration yet: its entries must make a whole configuration.
     pub fn from_change(text: &[u8]) -> Result<Configuration, Faults> {
-        let whole = change::merged(br#"{"ResourceSet":[]}"#, text)?;
-        Configuration::of_whole(&whole, ConfigVersion(0))
+        let merged = change::merge(br#"{"ResourceSet":[]}"#, text)?;
+        Configuration::from_merged(&merged, ConfigVersion(0))
     }
 
-    /// What a change makes may be longer than both texts that it is made of: a line's end is one escape there,
-    /// and another here. What could not be read again, from a disk or by another node, is no configuration.
-    fn of_whole(whole: &simd_json::OwnedValue, above: ConfigVersion) -> Result<Configuration, Faults> {
-        let bill = Configuration::built(whole, Some(above), || json::written(whole))?;
-        if bill.text.len() > MAX_BYTES {
-            let expected = format!("a whole of at most {MAX_BYTES} bytes; there are {}", bill.text.len());
+    /// The result of a change may be longer than both texts that it was made from, since characters may be escaped
+    /// differently: a line break is `\n` in one text and `\u000a` here. A result that is too long to be parsed again,
+    /// from a disk or by another node, is refused.
+    fn from_merged(merged: &simd_json::OwnedValue, current: ConfigVersion) -> Result<Configuration, Faults> {
+        let configuration = Configuration::from_value(merged, Some(current), || json::encode(merged))?;
+        if configuration.json.len() > MAX_BYTES {
+            let expected =
+                format!("a whole of at most {MAX_BYTES} bytes; there are {}", configuration.json.len());
             return Err(Faults::single("", expected));
         }
-        Ok(bill)
+        Ok(configuration)
     }
 
-    /// The whole as JSON: as it was sent, or as changes made it. Reading it gives the same bill again.
+    /// The whole configuration as JSON: as it was sent, or as changes made it. Parsing it gives the same
+    /// configuration.
     pub fn to_json(&self) -> Vec<u8> {
-        self.text.clone()
+        self.json.clone()
     }
 
-    /// `text` without a copy.
+    /// As `to_json`, without a copy.
     pub fn as_json(&self) -> &[u8] {
-        &self.text
+        &self.json
     }
 
-    /// The route of a request: of those of its host (whatever its case, a port is left out) the one with the
-    /// longest prefix that begins the path. `path` is without the query.
+    /// The route of a request: among the routes of its host, the one with the longest prefix of `path`, which must not
+    /// contain the query. The case of `host` does not matter, and a port is ignored.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Route> {
-        let at = self.finder.find(host, path)?;
-        self.routes.get_index(at).map(|(_, route)| route)
+        let index = self.route_index.find(host, path)?;
+        self.routes.get_index(index).map(|(_, route)| route)
     }
 
-    fn built(
-        value: &simd_json::OwnedValue, above: Option<ConfigVersion>, text: impl FnOnce() -> Vec<u8>,
+    /// Validates a parsed text; a version that is not above `newer_than` is a fault. `json` is only called if there are
+    /// no faults.
+    fn from_value(
+        value: &simd_json::OwnedValue, newer_than: Option<ConfigVersion>, json: impl FnOnce() -> Vec<u8>,
     ) -> Result<Configuration, Faults> {
-        let parts = read::parts(value, above)?;
-        let finder = routes::Finder::new(parts.routes.values());
+        let parsed = read::read_configuration(value, newer_than)?;
+        let route_index = routes::RouteIndex::new(parsed.routes.values());
         Ok(Configuration {
-            version: parts.version,
-            routes: parts.routes,
-            services: parts.services,
-            limits: parts.limits,
-            finder,
-            text: text(),
+            version: parsed.version,
+            routes: parsed.routes,
+            services: parsed.services,
+            limits: parsed.limits,
+            route_index,
+            json: json(),
         })
     }
 }
 
 impl PartialEq for Configuration {
     fn eq(&self, other: &Configuration) -> bool {
-        self.text == other.text
+        self.json == other.json
     }
 }
 
-/// What the body of `Rollouts.Initiate` asks for.
+/// An order of a roll-out: the body of the call `Rollouts.Initiate`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutOrder {
     pub service: String,
-    /// The version that is to take the service over.
+    /// The version that is to take over the service.
     pub target_version: String,
+    /// Time for the roll-out to complete in.
     pub period: Micros,
 }
 
 impl RolloutOrder {
     pub fn parse(text: &[u8]) -> Result<RolloutOrder, Faults> {
-        read::order(&json::parse(text)?)
+        read::read_rollout_order(&json::parse(text)?)
     }
 }
 
-/// A version as bodies write it: exactly eight hexadecimal digits of either case.
+/// Parses a version as bodies contain it: exactly eight hexadecimal digits of either case.
 pub fn parse_version(text: &str) -> Option<ConfigVersion> {
     if text.len() == 8 { parse_base_version(text) } else { None }
 }
 
-/// A version as the header `Base-Version` may write it: one to eight hexadecimal digits, so that a plain `0`
-/// for the first is understood too.
+/// Parses a version as the header `Base-Version` may contain it: one to eight hexadecimal digits, so that a plain `0`
+/// is accepted for the time before the first configuration.
 pub fn parse_base_version(text: &str) -> Option<ConfigVersion> {
-    let plain = (1..=8).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_hexdigit());
-    if plain { u32::from_str_radix(text, 16).ok().map(ConfigVersion) } else { None }
+    let is_hexadecimal = (1..=8).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_hexdigit());
+    if is_hexadecimal { u32::from_str_radix(text, 16).ok().map(ConfigVersion) } else { None }
 }
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -1,64 +1,74 @@
-//! Finds a request's route: hosts in order, and for each its prefixes in order, so that a request costs a few
-//! comparisons and no allocation, however many routes there are.
+//! An index of routes by host and path prefix, both sorted: a look-up takes a few comparisons and no allocation,
+//! however many routes there are.
 
 use crate::Route;
 
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Finder {
+pub(crate) struct RouteIndex {
     /// Sorted by host.
-    hosts: Vec<Host>,
+    hosts: Vec<HostRoutes>,
 }
 
+/// The routes of one host.
 #[derive(Clone, Debug)]
-struct Host {
-    /// In lower case, without a port.
+struct HostRoutes {
+    /// In lower case and without a port.
     name: String,
-    /// Sorted; each with its route's place.
+    /// Sorted; each with the index of its route.
     prefixes: Vec<(String, usize)>,
-    /// Of the longest prefix, in bytes: a path is looked at no further, however long a client makes it.
-    longest: usize,
+    /// Length of the longest prefix: no more of a path is examined, however long a client makes it.
+    longest_prefix_bytes: usize,
 }
 
-impl Finder {
-    pub fn new<'a>(routes: impl Iterator<Item = &'a Route>) -> Finder {
-        let mut rows: Vec<(&str, &str, usize)> =
-            routes.enumerate().map(|(at, route)| (&*route.host, &*route.path_prefix, at)).collect();
-        rows.sort_unstable();
-        let mut hosts: Vec<Host> = Vec::new();
-        for (name, prefix, at) in rows {
+impl RouteIndex {
+    pub fn new<'a>(routes: impl Iterator<Item = &'a Route>) -> RouteIndex {
+        let mut entries: Vec<(&str, &str, usize)> =
+            routes.enumerate().map(|(index, route)| (&*route.host, &*route.path_prefix, index)).collect();
+        entries.sort_unstable();
+        let mut hosts: Vec<HostRoutes> = Vec::new();
+        for (name, prefix, index) in entries {
             if hosts.last().is_none_or(|host| host.name != name) {
-                hosts.push(Host { name: name.to_owned(), prefixes: Vec::new(), longest: 0 });
+                hosts.push(HostRoutes {
+                    name: name.to_owned(),
+                    prefixes: Vec::new(),
+                    longest_prefix_bytes: 0,
+                });
             }
             if let Some(host) = hosts.last_mut() {
-                host.longest = host.longest.max(prefix.len());
-                host.prefixes.push((prefix.to_owned(), at));
+                host.longest_prefix_bytes = host.longest_prefix_bytes.max(prefix.len());
+                host.prefixes.push((prefix.to_owned(), index));
             }
         }
-        Finder { hosts }
+        RouteIndex { hosts }
     }
 
+    /// The index of the route with the longest prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         let host = without_port(host);
-        let lower = |b: u8| b.to_ascii_lowercase();
-        let found = self.hosts.binary_search_by(|row| row.name.bytes().cmp(host.bytes().map(lower))).ok()?;
-        let host = &self.hosts[found];
-        let seen = &path.as_bytes()[..path.len().min(host.longest)];
-        // A prefix ends with a slash: only the path's pieces that end with one can be prefixes.
-        let ends = (0..seen.len()).rev().filter(|&at| seen[at] == b'/');
-        ends.map(|at| &seen[..=at])
-            .find_map(|piece| host.prefixes.binary_search_by(|row| row.0.as_bytes().cmp(piece)).ok())
-            .map(|row| host.prefixes[row].1)
+        let to_lower = |b: u8| b.to_ascii_lowercase();
+        let position =
+            self.hosts.binary_search_by(|entry| entry.name.bytes().cmp(host.bytes().map(to_lower))).ok()?;
+        let host = &self.hosts[position];
+        let relevant = &path.as_bytes()[..path.len().min(host.longest_prefix_bytes)];
+        // Prefixes end with a slash, so only the parts of the path up to a slash can match; longest first.
+        let slashes = (0..relevant.len()).rev().filter(|&index| relevant[index] == b'/');
+        slashes
+            .map(|index| &relevant[..=index])
+            .find_map(|candidate| {
+                host.prefixes.binary_search_by(|entry| entry.0.as_bytes().cmp(candidate)).ok()
+            })
+            .map(|position| host.prefixes[position].1)
     }
 }
 
-/// A host as it is compared: in lower case and without its port.
-pub(crate) fn normal(host: &str) -> String {
+/// A host as it is compared: in lower case and without a port.
+pub(crate) fn normalize_host(host: &str) -> String {
     without_port(host).to_ascii_lowercase()
 }
 
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
-        // An IPv6 address in brackets keeps its own colons.
+        // The colons inside a bracketed IPv6 address do not start a port.
         Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) && !name.is_empty() => name,
         _ => host,
     }
