--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -45,10 +45,10 @@
     Modify { base: ConfigVersion, text: Vec<u8> },
     /// Orders a roll-out: `target_version` is to take over within `period`.
     Rollout { service: String, target_version: String, period: Micros },
-    /// Ends the trial of build `number`, as the gateways' votes call for. Written to the log with `Debug`, so its
-    /// names are part of what operators match.
+    /// Ends the trial of build `number`, as the gateways' votes call for. Log lines contain its `Debug` text, which
+    /// operators match, so its names are fixed.
     Verdict { service: String, number: u32, completed: bool },
-    /// The first instance of a service was of this version. Written to the log with `Debug`, as `Verdict` is.
+    /// The first instance of a service was of this version. Its names are fixed as those of `Verdict` are.
     Seen { service: String, version: String },
     /// All known nodes read this format: from here on commands and snapshots may be written in it, and a node that
     /// does not read it stops applying entries.
--- a/crates/intent/src/parts.rs
+++ b/crates/intent/src/parts.rs
@@ -102,7 +102,7 @@
     /// Went to an instance of this service.
     Service(ServiceKey),
     Rank(u32),
-    RouteKind(u8),
+    Kind(u8),
     Limits(u32),
     /// A sum over the row's services, and over their weights.
     Targets(u32),
@@ -145,7 +145,7 @@
                 Some(Act::Found),
                 Some(Act::Service(service)),
                 Some(Act::Rank(rank)),
-                Some(Act::RouteKind(kind)),
+                Some(Act::Kind(kind)),
                 Some(Act::Limits(limits)),
                 Some(Act::Targets(targets)),
                 Some(Act::Weights(weights)),
@@ -182,7 +182,7 @@
                 if known { Part::Splits } else { Part::Routes }
             }
             Act::Rank(_) | Act::Before(_) => Part::Priorities,
-            Act::RouteKind(_) => Part::Kinds,
+            Act::Kind(_) => Part::Kinds,
             Act::Limits(_) => Part::Limits,
             Act::Weights(_) => Part::Splits,
         }
@@ -200,7 +200,7 @@
             }
             (Some(row), Act::Rank(rank)) => sure(row.rank == rank),
             (Some(row), Act::Before(rank)) => sure(row.rank <= rank),
-            (Some(row), Act::RouteKind(kind)) => sure(row.kind == kind),
+            (Some(row), Act::Kind(kind)) => sure(row.kind == kind),
             (Some(row), Act::Limits(limits)) => sure(row.limits == limits),
             (Some(row), Act::Targets(targets)) => sure(services(&row.targets) as u32 == targets),
             (Some(row), Act::Weights(weights)) => sure(row.weights == weights),
