--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,17 +1,18 @@
-//! News (gossip queue): which addresses there is news about, and how often it was told.
+//! Gossip queue: the addresses about which there is an update to spread, and how often each has been sent.
 
 use types::NodeAddress;
 
-/// What the current word on a address is gets looked up when it is sent, so that only the newest is told.
+/// Holds addresses only. The update itself is looked up when a message is sent, so that always the newest is sent.
 #[derive(Debug, Default)]
 pub(crate) struct GossipQueue {
+    /// Least sent first.
     items: Vec<Item>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Item {
     about: NodeAddress,
-    sent: u32,
+    times_sent: u32,
 }
 
 impl GossipQueue {
@@ -19,23 +20,23 @@
         self.items.is_empty()
     }
 
-    /// There is something new about a address, to be told from the first time again.
-    pub fn tell(&mut self, about: NodeAddress) {
+    /// Queues an update about an address. If one is queued already, it is replaced and counted from zero again.
+    pub fn enqueue(&mut self, about: NodeAddress) {
         self.items.retain(|item| item.about != about);
-        self.items.insert(0, Item { about, sent: 0 });
+        self.items.insert(0, Item { about, times_sent: 0 });
     }
 
-    /// The addresses to tell of, least told first.
+    /// The addresses that are queued, least sent first.
     pub fn addresses(&self) -> impl Iterator<Item = NodeAddress> {
         self.items.iter().map(|item| item.about)
     }
 
-    /// The first `count` were sent once more; those sent `limit` times are done.
-    pub fn sent(&mut self, count: usize, limit: u32) {
+    /// Counts one more transmission of the first `count` items, and drops those that have been sent `limit` times.
+    pub fn mark_sent(&mut self, count: usize, limit: u32) {
         for item in self.items.iter_mut().take(count) {
-            item.sent += 1;
+            item.times_sent += 1;
         }
-        self.items.retain(|item| item.sent < limit);
-        self.items.sort_by_key(|item| item.sent);
+        self.items.retain(|item| item.times_sent < limit);
+        self.items.sort_by_key(|item| item.times_sent);
     }
 }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,166 +1,172 @@
-//! One node's membership: explicit states, and one function for each change of state.
+//! The membership of one node: its explicit state, and one function for each transition.
 
 use oorandom::Rand64;
 use types::{MS, Micros, NodeAddress, RunId};
 
 use crate::gossip::GossipQueue;
-use crate::roster::{Peer, Roster, Worth, digest_of, mix, range_of, weigh};
+use crate::roster::{
+    DIGEST_RANGES, Peer, ReplacedRun, Roster, UpdateKind, classify, digest_range, member_digest, mix,
+};
 use crate::{
     Effect, Event, Incarnation, Member, MemberStatus, MemberUpdate, Message, MessageBody, NAME_BYTES_MAX,
     ProbeNumber, Role, SEEDS_MAX, Timing,
 };
 
-/// Bytes of news in a message of its own, and of news that ride along with a probe or its answer.
-const NEWS_BYTES: usize = 950;
-const RIDE_BYTES: usize = 400;
-/// Second indirect_probe_count in work for others at once.
-const HELPING_MAX: usize = 64;
-/// Steps of local strain (Lifeguard); each stretches time-outs once more.
-const STRAIN_MAX: u32 = 4;
-/// From so many steps on the node counts as strained.
-const STRAINED: u32 = 2;
-/// A suspect that was heard this lately is told again instead of held dead.
-const HEARD_LATELY: Micros = 1_000 * MS;
-/// So long after it replaced an older run_id, a member hears at which incarnation it is held.
-const FORMER_TOLD: Micros = 10_000 * MS;
-/// How many others hear of an orderly end from the node itself.
-const LEAVE_TOLD: usize = 8;
-/// How many others, about, tell a suspect of the suspicion beside the accuser.
-const SUSPECT_TOLD: u64 = 6;
-
-/// The probe that is out.
+/// Bytes of updates in a message that carries nothing else.
+const GOSSIP_BYTES_MAX: usize = 950;
+/// Bytes of updates piggybacked on any other message.
+const PIGGYBACK_BYTES_MAX: usize = 400;
+/// Probes relayed for other members at the same time; further requests are ignored.
+const RELAYED_PROBES_MAX: usize = 64;
+/// Highest health penalty of this node (the local health multiplier of Lifeguard). Each point lengthens timeouts by their
+/// base value.
+const HEALTH_PENALTY_MAX: u32 = 4;
+/// From this penalty on the node reports itself as degraded.
+const DEGRADED_PENALTY: u32 = 2;
+/// A suspect that was heard this recently is notified again rather than declared dead.
+const RECENT_CONTACT: Micros = 1_000 * MS;
+/// For this long after a member replaced an older run, each message to it includes the incarnation that it has here.
+const REPLACEMENT_NOTIFIED_FOR: Micros = 10_000 * MS;
+/// Members that a node notifies itself when it leaves.
+const LEAVE_FANOUT: usize = 8;
+/// Average number of members that notify a suspect of the suspicion, in addition to the one that raised it.
+const SUSPECT_NOTIFIERS: u64 = 6;
+
+/// The probe that is in progress.
 #[derive(Debug)]
 struct Probe {
-    address: NodeAddress,
+    target: NodeAddress,
     run_id: RunId,
     number: ProbeNumber,
     stage: ProbeStage,
     /// When the stage ends.
-    until: Micros,
+    deadline: Micros,
 }
 
 #[derive(Debug)]
 enum ProbeStage {
-    /// The member itself was asked.
-    Asked,
-    /// So many others were asked as well, and so many of them have told that they know no better.
-    SecondOpinions { asked: u32, doubted: u32 },
+    /// The target itself has been probed.
+    Direct,
+    /// `requested` other members have been asked to probe it as well, and `nacks` of them have reported no answer.
+    Indirect { requested: u32, nacks: u32 },
 }
 
-/// A second opinion in work for another node.
+/// A probe sent on behalf of another member.
 #[derive(Debug)]
-struct Helping {
-    asker: NodeAddress,
-    theirs: ProbeNumber,
-    address: NodeAddress,
-    ours: ProbeNumber,
-    until: Micros,
+struct RelayedProbe {
+    requester: NodeAddress,
+    /// The number in the requester's messages.
+    requester_number: ProbeNumber,
+    target: NodeAddress,
+    /// The number in this node's messages to the target.
+    own_number: ProbeNumber,
+    deadline: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
-    Here,
-    /// Left: news is still heard, nothing is sent.
-    Gone,
+enum Lifecycle {
+    Active,
+    /// This node has left: updates are still taken in, but nothing is sent.
+    Left,
 }
 
-/// What this node knows of the others.
+/// What one node knows of the others.
 pub struct Membership {
     own: Member,
     incarnation: Incarnation,
-    stage: Stage,
+    lifecycle: Lifecycle,
     timing: Timing,
     rand: Rand64,
     seeds: Vec<NodeAddress>,
     roster: Roster,
-    news: GossipQueue,
-    /// Places to probe in this round, the next one last.
-    round: Vec<NodeAddress>,
+    gossip: GossipQueue,
+    /// Members still to be probed in this round, the next one last.
+    probe_order: Vec<NodeAddress>,
     probe: Option<Probe>,
-    helping: Vec<Helping>,
+    relayed_probes: Vec<RelayedProbe>,
     last_number: u32,
-    strain: u32,
+    health_penalty: u32,
     next_probe: Micros,
     next_gossip: Micros,
-    next_seeds: Micros,
-    next_dead: Micros,
+    next_seed_request: Micros,
+    next_dead_probe: Micros,
     next_compare: Micros,
-    born: Micros,
+    started_at: Micros,
     now: Micros,
     due: Micros,
 }
 
 impl Membership {
-    /// Starts a run_id: it is told to all seeds at once. `seed` is for chance, `now` and all times are of a steady
-    /// clock in microseconds.
+    /// Starts the membership of a new run, which is announced to all seeds at once. `seed` initialises the random
+    /// generator; `now` and all other times are those of a monotonic clock.
     pub fn start(
         own: Member, seeds: Vec<NodeAddress>, timing: Timing, seed: u64, now: Micros,
     ) -> (Membership, Vec<Effect>) {
         let mut own = own;
-        cut(&mut own.zone);
-        cut(&mut own.name);
+        truncate_name(&mut own.zone);
+        truncate_name(&mut own.name);
         let mut rand = Rand64::new(u128::from(seed));
-        let stagger =
-            |rand: &mut Rand64, every: Micros| now + rand.rand_range(0..every.max(1) as u64) as Micros;
-        let mut company = Membership {
+        let random_offset =
+            |rand: &mut Rand64, interval: Micros| now + rand.rand_range(0..interval.max(1) as u64) as Micros;
+        let mut membership = Membership {
             incarnation: Incarnation::default(),
-            stage: Stage::Here,
+            lifecycle: Lifecycle::Active,
             seeds: Vec::new(),
             roster: Roster::default(),
-            news: GossipQueue::default(),
-            round: Vec::new(),
+            gossip: GossipQueue::default(),
+            probe_order: Vec::new(),
             probe: None,
-            helping: Vec::new(),
-            // Answers to the probes of an earlier run_id here must not count for this one's.
+            relayed_probes: Vec::new(),
+            // Acknowledgements of probes of an earlier run here must not match those of this one.
             last_number: mix(own.run_id.0) as u32,
-            strain: 0,
-            next_probe: stagger(&mut rand, timing.probe_interval),
+            health_penalty: 0,
+            next_probe: random_offset(&mut rand, timing.probe_interval),
             next_gossip: now + timing.gossip_interval,
-            next_seeds: now,
-            next_dead: stagger(&mut rand, timing.dead_probe_interval),
+            next_seed_request: now,
+            next_dead_probe: random_offset(&mut rand, timing.dead_probe_interval),
             next_compare: now,
-            born: now,
+            started_at: now,
             now,
             due: now,
             own,
             timing,
             rand,
         };
-        company.news.tell(company.own.address);
-        let effects = company.step(now, Event::Seeds { addresses: seeds });
-        (company, effects)
+        membership.gossip.enqueue(membership.own.address);
+        let effects = membership.step(now, Event::Seeds { addresses: seeds });
+        (membership, effects)
     }
 
-    /// Takes one event; time may stand still but never go reply_wanted (an earlier `now` is read as the last one).
+    /// Handles one event. A `now` before that of the last step is taken as the same.
     pub fn step(&mut self, now: Micros, event: Event) -> Vec<Effect> {
         let now = now.max(self.now);
         self.now = now;
         let mut out = Vec::new();
         if now - self.due > self.timing.stall_threshold {
-            self.stalled(now - self.due);
+            self.compensate_stall(now - self.due);
         }
         match event {
             Event::Tick => {}
-            Event::Received { from, message } => self.received(from, message, &mut out),
-            Event::Seeds { addresses } => self.seeds_told(addresses),
+            Event::Received { from, message } => self.handle_message(from, message, &mut out),
+            Event::Seeds { addresses } => self.set_seeds(addresses),
             Event::Leave => self.leave(&mut out),
         }
-        if self.stage == Stage::Here {
-            self.timers(&mut out);
+        if self.lifecycle == Lifecycle::Active {
+            self.run_timers(&mut out);
         }
         self.due = self.next_due();
         out
     }
 
-    /// When `step` wants a `Tick` at the latest.
+    /// When `step` must be called with `Event::Tick` at the latest.
     pub fn due(&self) -> Micros {
         self.due
     }
 
-    /// Whether probes of several members in a row got no answer, and no helper's word either: a hint at this node's own
-    /// link or load.
+    /// Whether several probes in a row failed without even a nack from the members asked to relay them, or this node was
+    /// stalled repeatedly. Both point to this node's own link or load.
     pub fn is_degraded(&self) -> bool {
-        self.strain >= STRAINED
+        self.health_penalty >= DEGRADED_PENALTY
     }
 
     /// This node's own entry.
@@ -168,695 +174,723 @@
         &self.own
     }
 
-    /// All that are known, without this node; the dead and gone for a while too.
+    /// All other members known, including for a while those that are dead or have left.
     pub fn members(&self) -> impl Iterator<Item = (&Member, MemberStatus)> {
         self.roster.iter().map(|peer| (&peer.member, peer.status))
     }
 
-    /// Since when a node stands as it does, by the clock of the events; `None` for one that is not known.
+    /// Since when a member has had its status; `None` if it is not known.
     pub fn status_since(&self, address: NodeAddress) -> Option<Micros> {
-        self.roster.get(address).map(|peer| peer.since)
+        self.roster.get(address).map(|peer| peer.status_since)
     }
 
-    /// What is known of the node at a address, whatever its status; none of this node itself.
+    /// The member at an address, whatever its status; `None` if it is not known or is this node.
     pub fn member(&self, address: NodeAddress) -> Option<&Member> {
         self.roster.get(address).map(|peer| &peer.member)
     }
 
-    /// Those of a role that are alive or suspect, without this node.
+    /// The other members of a role that are alive or suspect.
     pub fn up(&self, role: Role) -> impl Iterator<Item = &Member> {
         self.roster.up().map(|peer| &peer.member).filter(move |member| member.role == role)
     }
 
     fn next_due(&self) -> Micros {
-        if self.stage == Stage::Gone {
+        if self.lifecycle == Lifecycle::Left {
             return Micros::MAX;
         }
-        let mut due = self.next_seeds.min(self.next_dead);
+        let mut due = self.next_seed_request.min(self.next_dead_probe);
         match &self.probe {
-            Some(probe) => due = due.min(probe.until),
+            Some(probe) => due = due.min(probe.deadline),
             None => due = due.min(self.next_probe),
         }
-        if !self.news.is_empty() {
+        if !self.gossip.is_empty() {
             due = due.min(self.next_gossip);
         }
         let suspects = self.roster.iter().filter(|peer| peer.status == MemberStatus::Suspect);
-        let suspects = suspects.map(|peer| peer.until);
-        suspects.chain(self.helping.iter().map(|help| help.until)).fold(due, Micros::min)
+        let suspicions = suspects.map(|peer| peer.suspicion_deadline);
+        suspicions.chain(self.relayed_probes.iter().map(|relayed| relayed.deadline)).fold(due, Micros::min)
     }
 
-    // ---- time ----
+    // ---- Time ----
 
-    /// This node itself stood still (frozen, starved): what others failed to say in that time is no fault of
-    /// theirs, so every time-out moves on by it.
-    fn stalled(&mut self, late: Micros) {
-        self.strain_up();
-        let soonest = self.now + self.stretched(self.timing.probe_interval);
+    /// This node itself was stalled (suspended, or short of CPU). Others are not to blame for what did not arrive in that
+    /// time, so every timeout is extended by it.
+    fn compensate_stall(&mut self, late: Micros) {
+        self.raise_health_penalty();
+        let earliest = self.now + self.scaled(self.timing.probe_interval);
         if let Some(probe) = &mut self.probe {
-            probe.until += late;
+            probe.deadline += late;
         }
-        for help in &mut self.helping {
-            help.until += late;
+        for relayed in &mut self.relayed_probes {
+            relayed.deadline += late;
         }
         for peer in self.roster.iter_mut().filter(|peer| peer.status == MemberStatus::Suspect) {
-            peer.until = (peer.until + late).max(soonest);
+            peer.suspicion_deadline = (peer.suspicion_deadline + late).max(earliest);
         }
     }
 
-    fn strain_up(&mut self) {
-        self.strain = (self.strain + 1).min(STRAIN_MAX);
+    fn raise_health_penalty(&mut self) {
+        self.health_penalty = (self.health_penalty + 1).min(HEALTH_PENALTY_MAX);
     }
 
-    fn stretched(&self, time: Micros) -> Micros {
-        time * Micros::from(1 + self.strain)
+    /// A timeout, lengthened by this node's health penalty.
+    fn scaled(&self, timeout: Micros) -> Micros {
+        timeout * Micros::from(1 + self.health_penalty)
     }
 
-    fn timers(&mut self, out: &mut Vec<Effect>) {
-        self.end_helping(out);
-        self.end_probe_stage(out);
-        self.bury_suspects(out);
+    fn run_timers(&mut self, out: &mut Vec<Effect>) {
+        self.expire_relayed_probes(out);
+        self.advance_probe(out);
+        self.expire_suspicions(out);
         if self.probe.is_none() && self.now >= self.next_probe {
-            self.begin_probe(out);
+            self.start_probe(out);
         }
-        if self.now >= self.next_dead {
-            self.next_dead = self.now + self.timing.dead_probe_interval;
-            self.roster.forget(self.now - self.timing.forget_after);
-            self.try_the_dead(out);
+        if self.now >= self.next_dead_probe {
+            self.next_dead_probe = self.now + self.timing.dead_probe_interval;
+            self.roster.forget_down_since(self.now - self.timing.forget_after);
+            self.probe_dead_member(out);
         }
-        if self.now >= self.next_seeds {
-            self.ask_seeds(out);
+        if self.now >= self.next_seed_request {
+            self.request_seeds(out);
         }
-        if !self.news.is_empty() && self.now >= self.next_gossip {
+        if !self.gossip.is_empty() && self.now >= self.next_gossip {
             self.next_gossip = self.now + self.timing.gossip_interval;
-            for to in self.some_up(self.timing.gossip_fanout, None) {
-                let message = self.message(to, MessageBody::Gossip, NEWS_BYTES);
+            for to in self.random_members_up(self.timing.gossip_fanout, None) {
+                let message = self.message_with_gossip(to, MessageBody::Gossip, GOSSIP_BYTES_MAX);
                 out.push(Effect::Send { to, message });
             }
         }
     }
 
-    // ---- seeds ----
+    // ---- Seeds ----
 
-    fn seeds_told(&mut self, addresses: Vec<NodeAddress>) {
+    fn set_seeds(&mut self, addresses: Vec<NodeAddress>) {
         let own = self.own.address;
         let mut addresses: Vec<NodeAddress> =
             addresses.into_iter().filter(|address| *address != own).collect();
         addresses.truncate(SEEDS_MAX);
         if addresses != self.seeds {
             self.seeds = addresses;
-            self.next_seeds = self.now;
+            self.next_seed_request = self.now;
         }
     }
 
-    fn ask_seeds(&mut self, out: &mut Vec<Effect>) {
-        let alone = self.up(Role::ControlNode).next().is_none();
-        let unknown = self.seeds.iter().copied().filter(|seed| !self.roster.is_up(*seed));
-        let mut unknown: Vec<NodeAddress> = unknown.collect();
-        if !alone && !unknown.is_empty() {
-            let one = self.below(unknown.len());
-            unknown = vec![unknown[one]];
+    /// Sends a `Join` to all seeds that are not known to be up, or to one of them, at random, once a control node is up.
+    fn request_seeds(&mut self, out: &mut Vec<Effect>) {
+        let isolated = self.up(Role::ControlNode).next().is_none();
+        let down = self.seeds.iter().copied().filter(|seed| !self.roster.is_up(*seed));
+        let mut receivers: Vec<NodeAddress> = down.collect();
+        if !isolated && !receivers.is_empty() {
+            let chosen = self.random_below(receivers.len());
+            receivers = vec![receivers[chosen]];
         }
-        for to in unknown {
-            let message = Message {
-                updates: vec![self.own_rumor(MemberStatus::Alive)],
-                ..self.bare(MessageBody::Join)
-            };
+        for to in receivers {
+            let updates = vec![self.own_update(MemberStatus::Alive)];
+            let message = Message { updates, ..self.bare_message(MessageBody::Join) };
             out.push(Effect::Send { to, message });
         }
-        let every = match alone {
-            true if self.now - self.born < self.timing.startup_period => self.timing.startup_seed_interval,
+        let starting = self.now - self.started_at < self.timing.startup_period;
+        let interval = match isolated {
+            true if starting => self.timing.startup_seed_interval,
             true => self.timing.isolated_seed_interval,
             false => self.timing.seed_interval,
         };
-        self.next_seeds = self.now + every;
+        self.next_seed_request = self.now + interval;
     }
 
-    // ---- probes ----
+    // ---- Probes ----
 
-    fn begin_probe(&mut self, out: &mut Vec<Effect>) {
-        self.next_probe = self.now + self.stretched(self.timing.probe_interval);
-        let Some(address) = self.next_of_round() else { return };
-        let Some(peer) = self.roster.get(address) else { return };
-        let (run_id, number) = (peer.member.run_id, self.number());
-        let until = self.now + self.stretched(self.timing.ack_timeout);
-        self.probe = Some(Probe { address, run_id, number, stage: ProbeStage::Asked, until });
-        let message = self.message(address, MessageBody::Probe { run_id, number }, RIDE_BYTES);
-        out.push(Effect::Send { to: address, message });
+    fn start_probe(&mut self, out: &mut Vec<Effect>) {
+        self.next_probe = self.now + self.scaled(self.timing.probe_interval);
+        let Some(target) = self.next_probe_target() else { return };
+        let Some(peer) = self.roster.get(target) else { return };
+        let (run_id, number) = (peer.member.run_id, self.next_number());
+        let deadline = self.now + self.scaled(self.timing.ack_timeout);
+        self.probe = Some(Probe { target, run_id, number, stage: ProbeStage::Direct, deadline });
+        let body = MessageBody::Probe { run_id, number };
+        let message = self.message_with_gossip(target, body, PIGGYBACK_BYTES_MAX);
+        out.push(Effect::Send { to: target, message });
     }
 
-    /// Each living member once, in an order by chance; then a new order.
-    fn next_of_round(&mut self) -> Option<NodeAddress> {
-        while let Some(address) = self.round.pop() {
+    /// Yields each member that is up once, in random order, and then begins a new round in another order.
+    fn next_probe_target(&mut self) -> Option<NodeAddress> {
+        while let Some(address) = self.probe_order.pop() {
             if self.roster.is_up(address) {
                 return Some(address);
             }
         }
-        self.round = self.roster.up().map(|peer| peer.member.address).collect();
-        for last in (1..self.round.len()).rev() {
-            let other = self.below(last + 1);
-            self.round.swap(last, other);
+        self.probe_order = self.roster.up().map(|peer| peer.member.address).collect();
+        for last in (1..self.probe_order.len()).rev() {
+            let other = self.random_below(last + 1);
+            self.probe_order.swap(last, other);
         }
-        self.round.pop()
+        self.probe_order.pop()
     }
 
-    fn end_probe_stage(&mut self, out: &mut Vec<Effect>) {
-        let Some(probe) = self.probe.take_if(|probe| self.now >= probe.until) else { return };
+    /// Moves the probe on where its stage has ended without an acknowledgement.
+    fn advance_probe(&mut self, out: &mut Vec<Effect>) {
+        let Some(probe) = self.probe.take_if(|probe| self.now >= probe.deadline) else { return };
         match probe.stage {
-            ProbeStage::Asked => self.ask_second_opinions(probe, out),
-            ProbeStage::SecondOpinions { asked, doubted } => self.probe_failed(probe, asked, doubted, out),
+            ProbeStage::Direct => self.request_indirect_probes(probe, out),
+            ProbeStage::Indirect { requested, nacks } => self.probe_failed(probe, requested, nacks, out),
         }
     }
 
-    fn ask_second_opinions(&mut self, probe: Probe, out: &mut Vec<Effect>) {
-        let helpers = self.some_up(self.timing.indirect_probe_count, Some(probe.address));
-        let stage = ProbeStage::SecondOpinions { asked: helpers.len() as u32, doubted: 0 };
+    fn request_indirect_probes(&mut self, probe: Probe, out: &mut Vec<Effect>) {
+        let helpers = self.random_members_up(self.timing.indirect_probe_count, Some(probe.target));
+        let stage = ProbeStage::Indirect { requested: helpers.len() as u32, nacks: 0 };
         for to in helpers {
-            let body = MessageBody::IndirectProbe { target: probe.address, number: probe.number };
-            let message = self.message(to, body, RIDE_BYTES);
+            let body = MessageBody::IndirectProbe { target: probe.target, number: probe.number };
+            let message = self.message_with_gossip(to, body, PIGGYBACK_BYTES_MAX);
             out.push(Effect::Send { to, message });
         }
-        // The member is asked once more itself: it was perhaps only one datagram that got lost.
-        let message = self.message(
-            probe.address,
-            MessageBody::Probe { run_id: probe.run_id, number: probe.number },
-            RIDE_BYTES,
-        );
-        out.push(Effect::Send { to: probe.address, message });
-        let until = self.now + self.stretched(self.timing.ack_timeout * 3 / 2);
-        self.probe = Some(Probe { stage, until, ..probe });
+        // The target is probed directly once more: perhaps only a single datagram was lost.
+        let body = MessageBody::Probe { run_id: probe.run_id, number: probe.number };
+        let message = self.message_with_gossip(probe.target, body, PIGGYBACK_BYTES_MAX);
+        out.push(Effect::Send { to: probe.target, message });
+        let deadline = self.now + self.scaled(self.timing.ack_timeout * 3 / 2);
+        self.probe = Some(Probe { stage, deadline, ..probe });
     }
 
-    /// Nobody got an answer. Helpers that did not even say so hint at this node's own link or load.
-    fn probe_failed(&mut self, probe: Probe, asked: u32, doubted: u32, out: &mut Vec<Effect>) {
-        if doubted < asked {
-            self.strain_up();
+    /// Nobody got an acknowledgement. Missing nacks of the members that were asked point to this node's own link or load.
+    fn probe_failed(&mut self, probe: Probe, requested: u32, nacks: u32, out: &mut Vec<Effect>) {
+        if nacks < requested {
+            self.raise_health_penalty();
         }
-        let Some(peer) = self.roster.get(probe.address) else { return };
+        let Some(peer) = self.roster.get(probe.target) else { return };
         if peer.status == MemberStatus::Alive && peer.member.run_id == probe.run_id {
-            self.suspect(probe.address, peer.incarnation, out);
-            self.tell_suspect(probe.address, out);
+            self.suspect(probe.target, peer.incarnation, out);
+            self.notify_suspect(probe.target, out);
         }
     }
 
-    fn probe_answered(&mut self) {
+    fn probe_succeeded(&mut self) {
         self.probe = None;
-        self.strain = self.strain.saturating_sub(1);
+        self.health_penalty = self.health_penalty.saturating_sub(1);
     }
 
-    /// One of the dead, by chance, hears that it is held dead: after a cut both sides find each other so.
-    fn try_the_dead(&mut self, out: &mut Vec<Effect>) {
+    /// Lets one dead member, chosen at random, know that it is believed dead. This is how the two sides of a partition
+    /// find each other again.
+    fn probe_dead_member(&mut self, out: &mut Vec<Effect>) {
         let dead = self.roster.iter().filter(|peer| peer.status == MemberStatus::Dead);
         let dead: Vec<(NodeAddress, RunId)> =
             dead.map(|peer| (peer.member.address, peer.member.run_id)).collect();
         if dead.is_empty() {
             return;
         }
-        let (to, run_id) = dead[self.below(dead.len())];
-        let message = self.message(to, MessageBody::Probe { run_id, number: ProbeNumber(0) }, RIDE_BYTES);
+        let (to, run_id) = dead[self.random_below(dead.len())];
+        let body = MessageBody::Probe { run_id, number: ProbeNumber(0) };
+        let message = self.message_with_gossip(to, body, PIGGYBACK_BYTES_MAX);
         out.push(Effect::Send { to, message });
     }
 
-    fn help(&mut self, asker: NodeAddress, address: NodeAddress, theirs: ProbeNumber, out: &mut Vec<Effect>) {
-        if self.helping.len() >= HELPING_MAX {
+    /// Probes `target` on behalf of `requester`.
+    fn relay_probe(
+        &mut self, requester: NodeAddress, target: NodeAddress, requester_number: ProbeNumber,
+        out: &mut Vec<Effect>,
+    ) {
+        if self.relayed_probes.len() >= RELAYED_PROBES_MAX {
             return;
         }
-        let ours = self.number();
-        let run_id = self.roster.get(address).map_or(RunId(0), |peer| peer.member.run_id);
-        let until = self.now + self.timing.ack_timeout;
-        self.helping.push(Helping { asker, theirs, address, ours, until });
-        let message = self.message(address, MessageBody::Probe { run_id, number: ours }, RIDE_BYTES);
-        out.push(Effect::Send { to: address, message });
+        let own_number = self.next_number();
+        let run_id = self.roster.get(target).map_or(RunId(0), |peer| peer.member.run_id);
+        let deadline = self.now + self.timing.ack_timeout;
+        self.relayed_probes.push(RelayedProbe { requester, requester_number, target, own_number, deadline });
+        let body = MessageBody::Probe { run_id, number: own_number };
+        let message = self.message_with_gossip(target, body, PIGGYBACK_BYTES_MAX);
+        out.push(Effect::Send { to: target, message });
     }
 
-    fn helped(&mut self, address: NodeAddress, ours: ProbeNumber, out: &mut Vec<Effect>) {
-        let Some(at) = self.helping.iter().position(|help| help.address == address && help.ours == ours)
-        else {
-            return;
-        };
-        let help = self.helping.swap_remove(at);
-        let body = MessageBody::IndirectAck { target: address, number: help.theirs };
-        let message = self.message(help.asker, body, RIDE_BYTES);
-        out.push(Effect::Send { to: help.asker, message });
+    /// Forwards an acknowledgement, if it answers a relayed probe.
+    fn forward_ack(&mut self, target: NodeAddress, number: ProbeNumber, out: &mut Vec<Effect>) {
+        let answered = |relayed: &RelayedProbe| relayed.target == target && relayed.own_number == number;
+        let Some(position) = self.relayed_probes.iter().position(answered) else { return };
+        let relayed = self.relayed_probes.swap_remove(position);
+        let body = MessageBody::IndirectAck { target, number: relayed.requester_number };
+        let message = self.message_with_gossip(relayed.requester, body, PIGGYBACK_BYTES_MAX);
+        out.push(Effect::Send { to: relayed.requester, message });
     }
 
-    fn end_helping(&mut self, out: &mut Vec<Effect>) {
-        while let Some(at) = self.helping.iter().position(|help| self.now >= help.until) {
-            let help = self.helping.swap_remove(at);
-            let body = MessageBody::IndirectNack { target: help.address, number: help.theirs };
-            let message = self.message(help.asker, body, RIDE_BYTES);
-            out.push(Effect::Send { to: help.asker, message });
+    /// Sends a nack for each relayed probe that was not acknowledged in time.
+    fn expire_relayed_probes(&mut self, out: &mut Vec<Effect>) {
+        while let Some(position) = self.relayed_probes.iter().position(|relayed| self.now >= relayed.deadline)
+        {
+            let relayed = self.relayed_probes.swap_remove(position);
+            let body = MessageBody::IndirectNack { target: relayed.target, number: relayed.requester_number };
+            let message = self.message_with_gossip(relayed.requester, body, PIGGYBACK_BYTES_MAX);
+            out.push(Effect::Send { to: relayed.requester, message });
         }
     }
 
-    // ---- changes of what is held of a member ----
+    // ---- Changes of a member's status ----
 
     fn suspect(&mut self, address: NodeAddress, incarnation: Incarnation, out: &mut Vec<Effect>) {
         let nodes = self.roster.up().count() + 1;
-        let until = self.now + self.stretched(self.timing.suspicion_timeout(nodes));
+        let deadline = self.now + self.scaled(self.timing.suspicion_timeout(nodes));
         let now = self.now;
         let Some(peer) = self.roster.get_mut(address) else { return };
         let before = (peer.status, peer.incarnation);
         peer.incarnation = incarnation;
         if before.0 != MemberStatus::Suspect {
-            (peer.status, peer.since, peer.until) = (MemberStatus::Suspect, now, until);
+            (peer.status, peer.status_since, peer.suspicion_deadline) =
+                (MemberStatus::Suspect, now, deadline);
             out.push(Effect::StatusChanged { member: peer.member.clone(), status: MemberStatus::Suspect });
         }
         if before != (MemberStatus::Suspect, incarnation) {
-            self.news.tell(address);
+            self.gossip.enqueue(address);
         }
     }
 
-    fn tell_suspect(&mut self, address: NodeAddress, out: &mut Vec<Effect>) {
+    /// Lets a suspect know of the suspicion, so that it can refute it.
+    fn notify_suspect(&mut self, address: NodeAddress, out: &mut Vec<Effect>) {
         let now = self.now;
         if let Some(peer) = self.roster.get_mut(address) {
-            peer.told = now;
+            peer.last_notified = now;
         }
-        let message = self.message(address, MessageBody::Gossip, RIDE_BYTES);
+        let message = self.message_with_gossip(address, MessageBody::Gossip, PIGGYBACK_BYTES_MAX);
         out.push(Effect::Send { to: address, message });
     }
 
-    /// Asks whoever is at a address for its name, and tells whom it is held to be.
-    fn ask_place(&mut self, address: NodeAddress, out: &mut Vec<Effect>) {
+    /// Asks whoever is at an address to describe itself, and tells it which member is believed to be there.
+    fn request_identity(&mut self, address: NodeAddress, out: &mut Vec<Effect>) {
         let now = self.now;
-        let again = self.timing.ack_timeout;
-        let Some(peer) = self.roster.get_mut(address).filter(|peer| now - peer.told >= again) else { return };
-        peer.told = now;
-        let news = vec![peer.rumor()];
-        out.push(Effect::Send {
-            to: address,
-            message: Message { updates: news, ..self.bare(MessageBody::IdentityRequest) },
-        });
+        let interval = self.timing.ack_timeout;
+        let Some(peer) = self.roster.get_mut(address).filter(|peer| now - peer.last_notified >= interval)
+        else {
+            return;
+        };
+        peer.last_notified = now;
+        let updates = vec![peer.update()];
+        let message = Message { updates, ..self.bare_message(MessageBody::IdentityRequest) };
+        out.push(Effect::Send { to: address, message });
     }
 
-    /// Suspects whose time is over are dead; one that was heard lately is told once more instead.
-    fn bury_suspects(&mut self, out: &mut Vec<Effect>) {
-        let over = |peer: &&Peer| peer.status == MemberStatus::Suspect && self.now >= peer.until;
+    /// Declares suspects dead whose time to refute is over. One that was heard recently is notified once more instead.
+    fn expire_suspicions(&mut self, out: &mut Vec<Effect>) {
+        let over = |peer: &&Peer| peer.status == MemberStatus::Suspect && self.now >= peer.suspicion_deadline;
         let over: Vec<NodeAddress> =
             self.roster.iter().filter(over).map(|peer| peer.member.address).collect();
         for address in over {
-            let more = self.now + self.stretched(self.timing.probe_interval);
+            let extended = self.now + self.scaled(self.timing.probe_interval);
             let now = self.now;
             let Some(peer) = self.roster.get_mut(address) else { continue };
-            if peer.heard > peer.since && now - peer.heard < HEARD_LATELY {
-                peer.until = more;
-                self.tell_suspect(address, out);
+            if peer.last_heard > peer.status_since && now - peer.last_heard < RECENT_CONTACT {
+                peer.suspicion_deadline = extended;
+                self.notify_suspect(address, out);
             } else {
-                self.dead(address, out);
+                self.declare_dead(address, out);
             }
         }
     }
 
-    fn dead(&mut self, address: NodeAddress, out: &mut Vec<Effect>) {
+    fn declare_dead(&mut self, address: NodeAddress, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(peer) = self.roster.get_mut(address) else { return };
-        (peer.status, peer.since) = (MemberStatus::Dead, now);
+        (peer.status, peer.status_since) = (MemberStatus::Dead, now);
         out.push(Effect::StatusChanged { member: peer.member.clone(), status: MemberStatus::Dead });
-        self.news.tell(address);
+        self.gossip.enqueue(address);
     }
 
-    fn left(&mut self, address: NodeAddress, out: &mut Vec<Effect>) {
+    fn mark_left(&mut self, address: NodeAddress, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(peer) = self.roster.get_mut(address) else { return };
         let was_dead = peer.status == MemberStatus::Dead;
-        (peer.status, peer.since) = (MemberStatus::Left, now);
+        (peer.status, peer.status_since) = (MemberStatus::Left, now);
         if !was_dead {
             out.push(Effect::StatusChanged { member: peer.member.clone(), status: MemberStatus::Left });
         }
-        self.news.tell(address);
+        self.gossip.enqueue(address);
     }
 
-    fn refuted(&mut self, address: NodeAddress, incarnation: Incarnation, out: &mut Vec<Effect>) {
+    /// The member refuted what was believed of it, by a higher incarnation.
+    fn mark_alive(&mut self, address: NodeAddress, incarnation: Incarnation, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(peer) = self.roster.get_mut(address) else { return };
         let before = peer.status;
         peer.incarnation = incarnation;
         if before != MemberStatus::Alive {
-            (peer.status, peer.since) = (MemberStatus::Alive, now);
+            (peer.status, peer.status_since) = (MemberStatus::Alive, now);
             out.push(Effect::StatusChanged { member: peer.member.clone(), status: MemberStatus::Alive });
         }
         if before == MemberStatus::Dead {
-            self.join_round(address);
-            // A split may have ended: what the other side knows is wanted soon.
+            self.insert_into_probe_order(address);
+            // A partition may have ended: what the other side knows is wanted soon.
             self.next_compare = now;
         }
-        self.news.tell(address);
+        self.gossip.enqueue(address);
     }
 
-    fn newcomer(&mut self, rumor: MemberUpdate, former: Option<(RunId, Micros)>, out: &mut Vec<Effect>) {
-        let MemberUpdate { member, incarnation, status } = rumor;
+    fn add_member(&mut self, update: MemberUpdate, replaced: Option<ReplacedRun>, out: &mut Vec<Effect>) {
+        let MemberUpdate { member, incarnation, status } = update;
         let address = member.address;
         let peer = Peer {
             member: member.clone(),
             incarnation,
             status: MemberStatus::Alive,
-            since: self.now,
-            until: self.now,
-            heard: Micros::MIN / 2,
-            told: Micros::MIN / 2,
-            former,
+            status_since: self.now,
+            suspicion_deadline: self.now,
+            last_heard: Micros::MIN / 2,
+            last_notified: Micros::MIN / 2,
+            replaced,
         };
-        if !self.roster.put(peer) {
+        if !self.roster.insert(peer) {
             return;
         }
         out.push(Effect::StatusChanged { member, status: MemberStatus::Alive });
-        self.join_round(address);
-        self.news.tell(address);
+        self.insert_into_probe_order(address);
+        self.gossip.enqueue(address);
         if status == MemberStatus::Suspect {
             self.suspect(address, incarnation, out);
         }
     }
 
-    /// Another run_id at a known address: the old one has ended, whatever was held of it.
-    fn new_life(&mut self, rumor: MemberUpdate, direct: bool, out: &mut Vec<Effect>) {
-        let Some(old) = self.roster.get(rumor.member.address) else { return };
-        let former = direct.then_some((old.member.run_id, self.now));
+    /// Another run at a known address: the old one has ended, whatever was believed of it.
+    fn replace_run(&mut self, update: MemberUpdate, direct: bool, out: &mut Vec<Effect>) {
+        let Some(old) = self.roster.get(update.member.address) else { return };
+        let replaced = direct.then_some(ReplacedRun { run_id: old.member.run_id, at: self.now });
         let incarnation =
-            if direct { rumor.incarnation.max(old.incarnation.next()) } else { rumor.incarnation };
+            if direct { update.incarnation.max(old.incarnation.next()) } else { update.incarnation };
         if old.status.is_up() {
             out.push(Effect::StatusChanged { member: old.member.clone(), status: MemberStatus::Dead });
         }
-        self.newcomer(MemberUpdate { incarnation, ..rumor }, former, out);
+        self.add_member(MemberUpdate { incarnation, ..update }, replaced, out);
     }
 
-    fn join_round(&mut self, address: NodeAddress) {
-        self.round.retain(|other| *other != address);
-        let at = self.below(self.round.len() + 1);
-        self.round.insert(at, address);
+    /// Inserts a member at a random position of the current round of probes.
+    fn insert_into_probe_order(&mut self, address: NodeAddress) {
+        self.probe_order.retain(|other| *other != address);
+        let position = self.random_below(self.probe_order.len() + 1);
+        self.probe_order.insert(position, address);
     }
 
-    // ---- what is heard ----
+    // ---- Received messages ----
 
-    fn received(&mut self, from: NodeAddress, message: Message, out: &mut Vec<Effect>) {
+    fn handle_message(&mut self, from: NodeAddress, message: Message, out: &mut Vec<Effect>) {
         let Message { run_id, incarnation, body, updates } = message;
-        if from == self.own.address || self.roster.get(from).is_some_and(|peer| peer.mutes(run_id, self.now))
+        if from == self.own.address
+            || self.roster.get(from).is_some_and(|peer| peer.ignores(run_id, self.now))
         {
             return;
         }
         let mut accused = false;
-        for rumor in updates {
-            if rumor.member.address == self.own.address {
-                accused |= self.heard_of_self(&rumor);
+        for update in updates {
+            if update.member.address == self.own.address {
+                accused |= self.handle_own_update(&update);
             } else {
-                let direct = rumor.member.address == from && rumor.member.run_id == run_id;
-                self.heard(rumor, direct, out);
+                let direct = update.member.address == from && update.member.run_id == run_id;
+                self.handle_update(update, direct, out);
             }
         }
-        if self.stage == Stage::Gone {
+        if self.lifecycle == Lifecycle::Left {
             return;
         }
-        let known = self.heard_from(from, run_id, incarnation, out);
+        let known = self.handle_sender(from, run_id, incarnation, out);
         if accused {
-            self.answer_accuser(from, out);
+            self.send_own_update(from, out);
         }
         match body {
-            MessageBody::Join => self.tell_members(from, [true; 8], true, out),
+            MessageBody::Join => self.send_members(from, [true; DIGEST_RANGES], true, out),
             MessageBody::Gossip => {}
-            MessageBody::IdentityRequest => self.answer_accuser(from, out),
+            MessageBody::IdentityRequest => self.send_own_update(from, out),
             MessageBody::Probe { run_id, number } => {
-                let body = MessageBody::Ack { number, digest: self.digest() };
-                let mut message = self.message(from, body, RIDE_BYTES);
+                let body = MessageBody::Ack { number, digest: self.total_digest() };
+                let mut message = self.message_with_gossip(from, body, PIGGYBACK_BYTES_MAX);
                 if run_id != self.own.run_id {
-                    message.updates.push(self.own_rumor(MemberStatus::Alive));
+                    message.updates.push(self.own_update(MemberStatus::Alive));
                 }
                 out.push(Effect::Send { to: from, message });
             }
-            MessageBody::Ack { number, digest } => self.answered(from, number, digest, known, out),
-            MessageBody::IndirectProbe { target: address, number } if address != self.own.address => {
-                self.help(from, address, number, out)
+            MessageBody::Ack { number, digest } => self.handle_ack(from, number, digest, known, out),
+            MessageBody::IndirectProbe { target, number } if target != self.own.address => {
+                self.relay_probe(from, target, number, out);
             }
             MessageBody::IndirectProbe { .. } => {}
-            MessageBody::IndirectAck { target: address, number } => {
-                if self.probe.as_ref().is_some_and(|probe| probe.address == address && probe.number == number)
-                {
-                    self.probe_answered();
+            MessageBody::IndirectAck { target, number } => {
+                if self.probe.as_ref().is_some_and(|probe| probe.target == target && probe.number == number) {
+                    self.probe_succeeded();
                 }
             }
-            MessageBody::IndirectNack { target: address, number } => self.doubted(address, number),
+            MessageBody::IndirectNack { target, number } => self.handle_nack(target, number),
             MessageBody::CompareDigests { digests, reply_wanted } => {
-                self.compared(from, digests, reply_wanted, out)
+                self.handle_digests(from, digests, reply_wanted, out);
             }
         }
     }
 
-    /// Word of the sender's run_id. A run_id that isn't known is asked for its name; true where it is known.
-    fn heard_from(
+    /// Notes a sign of life of the sender's run, and returns whether that run is known. One that is not is asked to
+    /// describe itself.
+    fn handle_sender(
         &mut self, from: NodeAddress, run_id: RunId, incarnation: Incarnation, out: &mut Vec<Effect>,
     ) -> bool {
         let now = self.now;
         match self.roster.get_mut(from) {
             Some(peer) if peer.member.run_id == run_id => {
-                peer.heard = now;
+                peer.last_heard = now;
                 if incarnation > peer.incarnation && peer.status != MemberStatus::Left {
-                    self.refuted(from, incarnation, out);
+                    self.mark_alive(from, incarnation, out);
                 }
                 true
             }
             _ => {
-                // Who is unknown may know many that are: comparing tells the name as well.
+                // A node that is unknown here may know many members that are as well. Comparing digests yields those, and
+                // its own description too.
                 let body = if now >= self.next_compare {
                     self.next_compare = now + self.timing.probe_interval;
-                    MessageBody::CompareDigests { digests: self.digests(), reply_wanted: true }
+                    MessageBody::CompareDigests { digests: self.range_digests(), reply_wanted: true }
                 } else {
                     MessageBody::IdentityRequest
                 };
-                let message = self.message(from, body, RIDE_BYTES);
+                let message = self.message_with_gossip(from, body, PIGGYBACK_BYTES_MAX);
                 out.push(Effect::Send { to: from, message });
                 false
             }
         }
     }
 
-    fn heard(&mut self, rumor: MemberUpdate, direct: bool, out: &mut Vec<Effect>) {
-        if rumor.member.zone.len() > NAME_BYTES_MAX || rumor.member.name.len() > NAME_BYTES_MAX {
+    /// Applies an update about another node.
+    fn handle_update(&mut self, update: MemberUpdate, direct: bool, out: &mut Vec<Effect>) {
+        if update.member.zone.len() > NAME_BYTES_MAX || update.member.name.len() > NAME_BYTES_MAX {
             return;
         }
-        let address = rumor.member.address;
-        match weigh(self.roster.get(address), &rumor, direct, self.now) {
-            Worth::Nothing => {}
-            Worth::Newcomer => self.newcomer(rumor, None, out),
-            Worth::NewLife => self.new_life(rumor, direct, out),
-            Worth::Refuted => self.refuted(address, rumor.incarnation, out),
-            Worth::Gone => self.left(address, out),
-            Worth::DeadAgain => {
+        let address = update.member.address;
+        match classify(self.roster.get(address), &update, direct, self.now) {
+            UpdateKind::Ignored => {}
+            UpdateKind::NewMember => self.add_member(update, None, out),
+            UpdateKind::NewRun => self.replace_run(update, direct, out),
+            UpdateKind::Refuted => self.mark_alive(address, update.incarnation, out),
+            UpdateKind::Left => self.mark_left(address, out),
+            UpdateKind::DeadAgain => {
                 if let Some(peer) = self.roster.get_mut(address) {
-                    peer.incarnation = rumor.incarnation;
+                    peer.incarnation = update.incarnation;
                 }
             }
-            Worth::Accused => {
-                self.suspect(address, rumor.incarnation, out);
+            UpdateKind::Accused => {
+                self.suspect(address, update.incarnation, out);
                 let nodes = self.roster.up().count().max(1) as u64;
-                if self.stage == Stage::Here && self.rand.rand_range(0..nodes) < SUSPECT_TOLD {
-                    self.tell_suspect(address, out);
+                if self.lifecycle == Lifecycle::Active && self.rand.rand_range(0..nodes) < SUSPECT_NOTIFIERS {
+                    self.notify_suspect(address, out);
                 }
             }
-            Worth::Outdated => {
+            UpdateKind::ReplacedRunAhead => {
                 if let Some(peer) = self.roster.get_mut(address) {
-                    peer.incarnation = rumor.incarnation.next();
-                    self.news.tell(address);
+                    peer.incarnation = update.incarnation.next();
+                    self.gossip.enqueue(address);
                 }
             }
-            Worth::Contradicted => {
-                if self.stage == Stage::Here {
-                    self.ask_place(address, out);
+            UpdateKind::ConflictingRun => {
+                if self.lifecycle == Lifecycle::Active {
+                    self.request_identity(address, out);
                 }
             }
         }
     }
 
-    /// Word of this address: whatever is not this run_id alive is topped. True where it had to be.
-    fn heard_of_self(&mut self, rumor: &MemberUpdate) -> bool {
-        let fine = rumor.member.run_id == self.own.run_id && rumor.status == MemberStatus::Alive;
-        if fine {
-            self.incarnation = self.incarnation.max(rumor.incarnation);
+    /// Handles an update about this node's own address. Anything but this run being alive is refuted by a higher
+    /// incarnation. Returns whether the sender has to be told.
+    fn handle_own_update(&mut self, update: &MemberUpdate) -> bool {
+        let correct = update.member.run_id == self.own.run_id && update.status == MemberStatus::Alive;
+        if correct {
+            self.incarnation = self.incarnation.max(update.incarnation);
             return false;
         }
-        if rumor.incarnation < self.incarnation || self.stage == Stage::Gone {
-            // Already topped, yet who says it has not heard so.
+        if update.incarnation < self.incarnation || self.lifecycle == Lifecycle::Left {
+            // Refuted already, but the sender has not heard of it.
             return true;
         }
-        self.incarnation = rumor.incarnation.next();
-        self.news.tell(self.own.address);
+        self.incarnation = update.incarnation.next();
+        self.gossip.enqueue(self.own.address);
         true
     }
 
-    fn answer_accuser(&mut self, to: NodeAddress, out: &mut Vec<Effect>) {
-        let message =
-            Message { updates: vec![self.own_rumor(MemberStatus::Alive)], ..self.bare(MessageBody::Gossip) };
+    fn send_own_update(&mut self, to: NodeAddress, out: &mut Vec<Effect>) {
+        let updates = vec![self.own_update(MemberStatus::Alive)];
+        let message = Message { updates, ..self.bare_message(MessageBody::Gossip) };
         out.push(Effect::Send { to, message });
     }
 
-    fn answered(
+    fn handle_ack(
         &mut self, from: NodeAddress, number: ProbeNumber, digest: u32, known: bool, out: &mut Vec<Effect>,
     ) {
-        if self.probe.as_ref().is_some_and(|probe| probe.address == from && probe.number == number) {
-            self.probe_answered();
+        if self.probe.as_ref().is_some_and(|probe| probe.target == from && probe.number == number) {
+            self.probe_succeeded();
         }
-        self.helped(from, number, out);
-        if known && digest != self.digest() && self.news.is_empty() && self.now >= self.next_compare {
+        self.forward_ack(from, number, out);
+        // While there is gossip, a difference is to be expected.
+        if known && digest != self.total_digest() && self.gossip.is_empty() && self.now >= self.next_compare {
             self.next_compare = self.now + self.timing.compare_interval;
-            let body = MessageBody::CompareDigests { digests: self.digests(), reply_wanted: true };
-            let message = self.message(from, body, RIDE_BYTES);
+            let body = MessageBody::CompareDigests { digests: self.range_digests(), reply_wanted: true };
+            let message = self.message_with_gossip(from, body, PIGGYBACK_BYTES_MAX);
             out.push(Effect::Send { to: from, message });
         }
     }
 
-    fn doubted(&mut self, address: NodeAddress, number: ProbeNumber) {
+    fn handle_nack(&mut self, target: NodeAddress, number: ProbeNumber) {
         let Some(probe) = self.probe.as_mut() else { return };
-        if let ProbeStage::SecondOpinions { doubted, .. } = &mut probe.stage
-            && (probe.address, probe.number) == (address, number)
+        if let ProbeStage::Indirect { nacks, .. } = &mut probe.stage
+            && (probe.target, probe.number) == (target, number)
         {
-            *doubted += 1;
+            *nacks += 1;
         }
     }
 
-    fn compared(&mut self, from: NodeAddress, digests: [u32; 8], reply_wanted: bool, out: &mut Vec<Effect>) {
-        let own = self.digests();
-        let differ: [bool; 8] = std::array::from_fn(|range| own[range] != digests[range]);
-        if !differ.contains(&true) {
+    fn handle_digests(
+        &mut self, from: NodeAddress, digests: [u32; DIGEST_RANGES], reply_wanted: bool,
+        out: &mut Vec<Effect>,
+    ) {
+        let own = self.range_digests();
+        let differs: [bool; DIGEST_RANGES] = std::array::from_fn(|range| own[range] != digests[range]);
+        if !differs.contains(&true) {
             return;
         }
-        self.tell_members(from, differ, false, out);
+        self.send_members(from, differs, false, out);
         if reply_wanted {
-            let message = self.message(
-                from,
-                MessageBody::CompareDigests { digests: own, reply_wanted: false },
-                RIDE_BYTES,
-            );
+            let body = MessageBody::CompareDigests { digests: own, reply_wanted: false };
+            let message = self.message_with_gossip(from, body, PIGGYBACK_BYTES_MAX);
             out.push(Effect::Send { to: from, message });
         }
     }
 
-    // ---- what is said ----
+    // ---- Messages to others ----
 
-    /// Tells the members of some ranges, in pieces that fit into datagrams.
-    fn tell_members(&mut self, to: NodeAddress, ranges: [bool; 8], only_up: bool, out: &mut Vec<Effect>) {
-        let mut piece = vec![self.own_rumor(MemberStatus::Alive)];
-        let mut bytes = bytes_of(&piece[0]);
+    /// Sends the members of some ranges, and this node itself, in messages that each fit into a datagram.
+    fn send_members(
+        &mut self, to: NodeAddress, ranges: [bool; DIGEST_RANGES], only_up: bool, out: &mut Vec<Effect>,
+    ) {
+        let mut updates = vec![self.own_update(MemberStatus::Alive)];
+        let mut bytes = encoded_bytes(&updates[0]);
         for peer in self.roster.iter() {
             let address = peer.member.address;
-            if address == to || !ranges[range_of(address)] || (only_up && !peer.status.is_up()) {
+            if address == to || !ranges[digest_range(address)] || (only_up && !peer.status.is_up()) {
                 continue;
             }
-            let rumor = peer.rumor();
-            let more = bytes_of(&rumor);
-            if bytes + more > NEWS_BYTES {
-                let message =
-                    Message { updates: std::mem::take(&mut piece), ..self.bare(MessageBody::Gossip) };
+            let update = peer.update();
+            let update_bytes = encoded_bytes(&update);
+            if bytes + update_bytes > GOSSIP_BYTES_MAX {
+                let updates = std::mem::take(&mut updates);
+                let message = Message { updates, ..self.bare_message(MessageBody::Gossip) };
                 out.push(Effect::Send { to, message });
                 bytes = 0;
             }
-            bytes += more;
-            piece.push(rumor);
+            bytes += update_bytes;
+            updates.push(update);
         }
-        let message = Message { updates: piece, ..self.bare(MessageBody::Gossip) };
+        let message = Message { updates, ..self.bare_message(MessageBody::Gossip) };
         out.push(Effect::Send { to, message });
     }
 
-    /// Ends this run_id in order: several others hear it at once, and pass it on.
+    /// Ends this run in order: several members are told at once, and pass it on.
     fn leave(&mut self, out: &mut Vec<Effect>) {
-        if self.stage == Stage::Gone {
+        if self.lifecycle == Lifecycle::Left {
             return;
         }
-        self.stage = Stage::Gone;
-        let rumor = self.own_rumor(MemberStatus::Left);
-        for to in self.some_up(LEAVE_TOLD, None) {
-            let message = Message { updates: vec![rumor.clone()], ..self.bare(MessageBody::Gossip) };
+        self.lifecycle = Lifecycle::Left;
+        let update = self.own_update(MemberStatus::Left);
+        for to in self.random_members_up(LEAVE_FANOUT, None) {
+            let updates = vec![update.clone()];
+            let message = Message { updates, ..self.bare_message(MessageBody::Gossip) };
             out.push(Effect::Send { to, message });
         }
     }
 
-    fn bare(&self, body: MessageBody) -> Message {
+    /// A message without updates.
+    fn bare_message(&self, body: MessageBody) -> Message {
         Message { run_id: self.own.run_id, incarnation: self.incarnation, body, updates: Vec::new() }
     }
 
-    /// A message with the news least told so far; who isn't held alive hears that first.
-    fn message(&mut self, to: NodeAddress, body: MessageBody, bytes: usize) -> Message {
-        let mut message = self.bare(body);
-        let mut left = bytes;
-        let held = self.roster.get(to).filter(|peer| {
-            let replaced_lately = peer.former.is_some_and(|(_, at)| self.now - at < FORMER_TOLD);
+    /// A message with up to `bytes_max` bytes of the updates that were sent least so far. A receiver that is not believed
+    /// alive, or replaced another run lately, finds its own entry first, so that it can refute it.
+    fn message_with_gossip(&mut self, to: NodeAddress, body: MessageBody, bytes_max: usize) -> Message {
+        let mut message = self.bare_message(body);
+        let mut bytes_left = bytes_max;
+        let receiver = self.roster.get(to).filter(|peer| {
+            let replaced_lately =
+                peer.replaced.is_some_and(|replaced| self.now - replaced.at < REPLACEMENT_NOTIFIED_FOR);
             peer.status != MemberStatus::Alive || replaced_lately
         });
-        if let Some(peer) = held {
-            let rumor = peer.rumor();
-            left = left.saturating_sub(bytes_of(&rumor));
-            message.updates.push(rumor);
-        }
-        let mut told = 0;
-        for about in self.news.addresses() {
-            let rumor = match self.roster.get(about) {
-                _ if about == self.own.address => self.own_rumor(MemberStatus::Alive),
-                Some(peer) => peer.rumor(),
-                // Forgotten meanwhile: it counts as told.
+        if let Some(peer) = receiver {
+            let update = peer.update();
+            bytes_left = bytes_left.saturating_sub(encoded_bytes(&update));
+            message.updates.push(update);
+        }
+        let mut sent = 0;
+        for about in self.gossip.addresses() {
+            let update = match self.roster.get(about) {
+                _ if about == self.own.address => self.own_update(MemberStatus::Alive),
+                Some(peer) => peer.update(),
+                // Forgotten in the meantime: counts as sent.
                 None => {
-                    told += 1;
+                    sent += 1;
                     continue;
                 }
             };
-            let bytes = bytes_of(&rumor);
-            if bytes > left {
+            let bytes = encoded_bytes(&update);
+            if bytes > bytes_left {
                 break;
             }
-            left -= bytes;
-            told += 1;
+            bytes_left -= bytes;
+            sent += 1;
             if about != to {
-                message.updates.push(rumor);
+                message.updates.push(update);
             }
         }
         let limit = self.timing.gossip_transmissions(self.roster.up().count());
-        self.news.sent(told, limit);
+        self.gossip.mark_sent(sent, limit);
         message
     }
 
-    fn own_rumor(&self, status: MemberStatus) -> MemberUpdate {
+    fn own_update(&self, status: MemberStatus) -> MemberUpdate {
         MemberUpdate { member: self.own.clone(), incarnation: self.incarnation, status }
     }
 
-    fn digest(&self) -> u32 {
-        self.digests().iter().fold(0, |digest, role| digest ^ role)
+    /// Digest of all members that are up, this node included.
+    fn total_digest(&self) -> u32 {
+        self.range_digests().iter().fold(0, |total, range| total ^ range)
     }
 
-    fn digests(&self) -> [u32; 8] {
-        let mut digests = [0; 8];
+    /// The same by ranges of addresses.
+    fn range_digests(&self) -> [u32; DIGEST_RANGES] {
+        let mut digests = [0; DIGEST_RANGES];
         let own = (self.own.address, self.own.run_id, self.incarnation);
         let others = self.roster.up().map(|peer| (peer.member.address, peer.member.run_id, peer.incarnation));
         for (address, run_id, incarnation) in others.chain([own]) {
-            digests[range_of(address)] ^= digest_of(address, run_id, incarnation);
+            digests[digest_range(address)] ^= member_digest(address, run_id, incarnation);
         }
         digests
     }
 
-    // ---- chance ----
+    // ---- Numbers and random choices ----
 
-    fn below(&mut self, bound: usize) -> usize {
+    fn random_below(&mut self, bound: usize) -> usize {
         self.rand.rand_range(0..bound.max(1) as u64) as usize
     }
 
-    fn number(&mut self) -> ProbeNumber {
+    /// The next probe number; never 0, which stands for probes that are not tracked.
+    fn next_number(&mut self) -> ProbeNumber {
         self.last_number = self.last_number.wrapping_add(1).max(1);
         ProbeNumber(self.last_number)
     }
 
-    /// Some that are up, by chance, without one of them.
-    fn some_up(&mut self, count: usize, without: Option<NodeAddress>) -> Vec<NodeAddress> {
+    /// Up to `count` members that are up, chosen at random, without `excluded`.
+    fn random_members_up(&mut self, count: usize, excluded: Option<NodeAddress>) -> Vec<NodeAddress> {
         let up = self.roster.up().map(|peer| peer.member.address);
-        let mut up: Vec<NodeAddress> = up.filter(|address| Some(*address) != without).collect();
+        let mut up: Vec<NodeAddress> = up.filter(|address| Some(*address) != excluded).collect();
         let count = count.min(up.len());
-        for at in 0..count {
-            let other = at + self.below(up.len() - at);
-            up.swap(at, other);
+        for position in 0..count {
+            let other = position + self.random_below(up.len() - position);
+            up.swap(position, other);
         }
         up.truncate(count);
         up
     }
 }
 
-/// The most that a rumor takes on the wire.
-fn bytes_of(rumor: &MemberUpdate) -> usize {
-    4 + 10 + 1 + 5 + 1 + 2 + rumor.member.zone.len() + rumor.member.name.len()
+/// The most bytes that an update takes in an encoded message (postcard), not counting the member's version.
+fn encoded_bytes(update: &MemberUpdate) -> usize {
+    4 + 10 + 1 + 5 + 1 + 2 + update.member.zone.len() + update.member.name.len()
 }
 
-fn cut(text: &mut String) {
+/// Shortens a zone or a name to the allowed length, at a character boundary.
+fn truncate_name(text: &mut String) {
     let mut end = text.len().min(NAME_BYTES_MAX);
     while !text.is_char_boundary(end) {
         end -= 1;
