--- a/crates/replication/src/bytes.rs
+++ b/crates/replication/src/bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes on the wire (serde): written and read as one run, not number by number.
+//! Serde for byte vectors: written and read as one byte string rather than as a sequence of numbers.
 
 use std::fmt;
 
@@ -10,12 +10,12 @@
 }
 
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
-    deserializer.deserialize_byte_buf(Bytes)
+    deserializer.deserialize_byte_buf(BytesVisitor)
 }
 
-struct Bytes;
+struct BytesVisitor;
 
-impl<'de> Visitor<'de> for Bytes {
+impl<'de> Visitor<'de> for BytesVisitor {
     type Value = Vec<u8>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/replication/src/node/pulls.rs
+++ b/crates/replication/src/node/pulls.rs
@@ -1,90 +1,99 @@
-//! Asking for what is missing: one node at a time, another one where it is silent.
+//! Pulling what is missing: from one node at a time, and from another one if it does not answer.
 
 use super::*;
 
 impl Replicator {
-    /// Whether one that tells of news now is rather to be asked than the one that has been asked and has said nothing: a
-    /// word of it has just come through. Where much is missing it is waited for, as a second copy would slow down the first.
-    pub(super) fn asked_in_vain(&self, teller: NodeAddress) -> bool {
-        let little = self.known_bytes as usize <= INLINE_BYTES_MAX;
-        let silent = |asked: &Asked| asked.from != teller && asked.told == 0 && self.now - asked.at >= SILENT;
-        little && self.asked.as_ref().is_some_and(silent)
+    /// Whether to pull from `announcer`, whose message has just arrived, rather than wait for a node that has been asked
+    /// and has shown no sign of an answer. Not if much is missing, where a second copy would slow down the first.
+    pub(super) fn should_replace_pull(&self, announcer: NodeAddress) -> bool {
+        let small = self.known_bytes as usize <= INLINE_BYTES_MAX;
+        let silent = |pull: &Pull| {
+            pull.from != announcer && pull.announced_bytes == 0 && self.now - pull.sent_at >= PULL_SILENCE
+        };
+        small && self.pull.as_ref().is_some_and(silent)
     }
 
-    /// Whoever is asked tells first how much is on its way: it is waited for so long. Guards against asking for a
-    /// second copy of a state while a slow link still carries the first, which makes the link slower still.
-    pub(super) fn told_while_asking(&mut self, from: NodeAddress, latest_bytes: u32) {
-        let until = self.now + self.wait(0).max(ASK_BASE + Micros::from(latest_bytes) * ASK_BYTE);
-        if let Some(asked) =
-            self.asked.as_mut().filter(|asked| asked.from == from && asked.told < latest_bytes)
+    /// Extends the pull's deadline. A node that has been asked for much first announces how much it sends, and is waited
+    /// for accordingly. Guards against pulling a second copy of a snapshot while a slow link still transfers the first,
+    /// which would slow it down further.
+    pub(super) fn extend_pull(&mut self, from: NodeAddress, announced_bytes: u32) {
+        let transfer = Micros::from(announced_bytes) * TRANSFER_MICROS_PER_BYTE;
+        let deadline = self.now + self.pull_timeout(0).max(PULL_TIMEOUT_BASE + transfer);
+        if let Some(pull) =
+            self.pull.as_mut().filter(|pull| pull.from == from && pull.announced_bytes < announced_bytes)
         {
-            (asked.told, asked.until) = (latest_bytes, asked.until.max(until));
+            (pull.announced_bytes, pull.deadline) = (announced_bytes, pull.deadline.max(deadline));
         }
     }
 
-    /// What a watched source has, and neither pushed nor told of, is asked of it, by stream.
-    pub(super) fn ask_for_missed(&mut self, out: &mut Vec<Effect>) {
-        if let Some(source) = self.watches.overdue(self.now)
-            && self.asked.is_none()
+    /// Pulls, by stream, what a watched source holds and has neither pushed nor announced in time.
+    pub(super) fn pull_overdue_push(&mut self, out: &mut Vec<Effect>) {
+        if let Some(source) = self.watches.take_overdue_push(self.now)
+            && self.pull.is_none()
         {
             out.push(Effect::PreferStream { to: source });
-            self.ask(source, 0, false, out);
+            self.start_pull(source, 0, false, out);
         }
     }
 
-    /// After something came: done, or the rest is asked of whom it came from, at the end of its answer.
-    pub(super) fn go_on(&mut self, from: NodeAddress, more: bool, progress: bool, out: &mut Vec<Effect>) {
-        if self.index >= self.known {
-            self.asked = None;
-            self.tellers.clear();
+    /// Goes on after an answer: ends the pull if nothing is missing, waits for the answer's next message, or, at its end,
+    /// pulls the rest from the same node.
+    pub(super) fn continue_pull(
+        &mut self, from: NodeAddress, more: bool, progress: bool, out: &mut Vec<Effect>,
+    ) {
+        if self.index >= self.known_index {
+            self.pull = None;
+            self.announcers.clear();
             return;
         }
-        let (now, wait) = (self.now, self.wait(0));
-        match &mut self.asked {
-            None => self.ask(from, 0, false, out),
-            Some(asked) if asked.from != from || !progress => {}
-            Some(asked) if more => (asked.until, asked.tries) = (now + wait, 0),
-            Some(asked) => {
-                let fresh = asked.fresh;
-                self.ask(from, 0, fresh, out);
+        let (now, timeout) = (self.now, self.pull_timeout(0));
+        match &mut self.pull {
+            None => self.start_pull(from, 0, false, out),
+            Some(pull) if pull.from != from || !progress => {}
+            Some(pull) if more => (pull.deadline, pull.retries) = (now + timeout, 0),
+            Some(pull) => {
+                let fresh = pull.fresh;
+                self.start_pull(from, 0, fresh, out);
             }
         }
     }
 
-    pub(super) fn wait(&self, tries: u32) -> Micros {
-        let base = if self.ring.is_empty() { 2 * ASK_BASE } else { ASK_BASE };
-        base * Micros::from(1 + tries) + Micros::from(self.known_bytes) * ASK_BYTE
+    /// How long to wait for the answer to a pull; longer with each retry, and while no recent commands are
+    /// held here.
+    pub(super) fn pull_timeout(&self, retries: u32) -> Micros {
+        let base = if self.recent.is_empty() { 2 * PULL_TIMEOUT_BASE } else { PULL_TIMEOUT_BASE };
+        base * Micros::from(1 + retries) + Micros::from(self.known_bytes) * TRANSFER_MICROS_PER_BYTE
     }
 
-    pub(super) fn ask(&mut self, from: NodeAddress, tries: u32, fresh: bool, out: &mut Vec<Effect>) {
-        let until = self.now + self.wait(tries);
-        self.asked = Some(Asked { from, at: self.now, until, tries, fresh, told: 0 });
+    pub(super) fn start_pull(&mut self, from: NodeAddress, retries: u32, fresh: bool, out: &mut Vec<Effect>) {
+        let deadline = self.now + self.pull_timeout(retries);
+        self.pull = Some(Pull { from, sent_at: self.now, deadline, retries, fresh, announced_bytes: 0 });
         self.gaps.pulls += 1;
         out.push(Effect::Send { to: from, message: Message::Pull { held: self.index } });
     }
 
-    /// Whoever was asked holds no more than is held here.
-    pub(super) fn nothing_there(&mut self, out: &mut Vec<Effect>) {
-        if self.index >= self.known {
-            self.asked = None;
+    /// The node that was asked holds no more than this one.
+    pub(super) fn pull_found_nothing(&mut self, out: &mut Vec<Effect>) {
+        if self.index >= self.known_index {
+            self.pull = None;
         } else {
-            self.ask_another(out);
+            self.retry_pull(out);
         }
     }
 
-    /// Nothing came: another teller is asked, or a hub by chance. Where nothing is known to be missing and a
-    /// hub is silent, the digests go on asking.
-    pub(super) fn ask_another(&mut self, out: &mut Vec<Effect>) {
-        let Some(asked) = self.asked.take() else { return };
-        if self.index >= self.known && asked.tries >= ASK_TRIES_MAX {
+    /// Pulls from another node that announced more than is held here, or from a source chosen at random. Gives up after
+    /// some attempts if nothing is known to be missing: the digests will find what is.
+    pub(super) fn retry_pull(&mut self, out: &mut Vec<Effect>) {
+        let Some(failed) = self.pull.take() else { return };
+        if self.index >= self.known_index && failed.retries >= PULL_RETRIES_MAX {
             return;
         }
-        self.tellers.retain(|(address, index)| *address != asked.from && *index > self.index);
-        let other = self.tellers.pop().map(|(address, _)| address);
-        let other = other.or_else(|| pick(&mut self.rand, &self.hubs));
-        if let Some(other) = other.or_else(|| pick(&mut self.rand, &self.others)) {
-            out.push(Effect::PreferStream { to: other });
-            self.ask(other, (asked.tries + 1).min(ASK_TRIES_MAX), asked.fresh, out);
+        self.announcers.retain(|(address, index)| *address != failed.from && *index > self.index);
+        let next = self.announcers.pop().map(|(address, _)| address);
+        let next = next.or_else(|| pick(&mut self.rand, &self.sources));
+        if let Some(next) = next.or_else(|| pick(&mut self.rand, &self.others)) {
+            out.push(Effect::PreferStream { to: next });
+            self.start_pull(next, (failed.retries + 1).min(PULL_RETRIES_MAX), failed.fresh, out);
         }
     }
 }
--- a/crates/replication/src/node/pushing.rs
+++ b/crates/replication/src/node/pushing.rs
@@ -1,105 +1,116 @@
-//! What a source does: it pushes committed commands to the followers that watch it, waits for their acknowledgements, and
-//! tells how it stands.
+//! What only sources do: they push committed commands to the followers that watch them, repeat what is not acknowledged,
+//! and answer how fresh their state is.
 
 use super::*;
 
-/// Hubs that push to each follower of an older program.
-const OWNERS: usize = 2;
+/// Sources that push to each follower that can't watch.
+const SOURCES_PER_NON_WATCHING_FOLLOWER: usize = 2;
 
 impl Replicator {
-    /// Whom this hub pushes to: the followers that watch it, and its share of those that can't watch anybody.
-    pub(super) fn served(&self) -> Vec<NodeAddress> {
-        let mut served: Vec<NodeAddress> = self.watchers.addresses().collect();
-        let share = types::assigned_share(self.own, &self.hubs, &self.unwatching, OWNERS);
-        served.extend(share.into_iter().filter(|address| !self.watchers.has(*address)));
-        served
+    /// The followers that this source pushes to: those that watch it, and its share of those that can't watch.
+    pub(super) fn push_targets(&self) -> Vec<NodeAddress> {
+        let mut targets: Vec<NodeAddress> = self.watchers.addresses().collect();
+        let assigned = types::assigned_share(
+            self.own,
+            &self.sources,
+            &self.non_watching,
+            SOURCES_PER_NON_WATCHING_FOLLOWER,
+        );
+        targets.extend(assigned.into_iter().filter(|address| !self.watchers.contains(*address)));
+        targets
     }
 
-    pub(super) fn committed(&mut self, index: LogIndex, data: Vec<u8>, out: &mut Vec<Effect>) {
+    pub(super) fn handle_committed(&mut self, index: LogIndex, data: Vec<u8>, out: &mut Vec<Effect>) {
         if self.mode == Mode::Follower || index <= self.index {
             return;
         }
-        let piece = ChainedCommand { prev: self.index, index, data };
-        let push = index >= self.known;
+        let command = ChainedCommand { prev: self.index, index, data };
+        // Not if others are known to hold more already, as while this source catches up with the log.
+        let push = index >= self.known_index;
         let prev = self.index;
-        self.advance(index, piece.data.len() as u32);
-        self.ring.push(piece.clone(), RECENT_BYTES_MAX + self.chain.1);
+        self.advance(index, command.data.len() as u32);
+        self.recent.push(command.clone(), RECENT_BYTES_MAX + self.extended_retention.bytes);
         if !push {
             return;
         }
-        let mut served = self.served();
-        if !self.may_push() {
-            // Too many at once: they hear a little later of all together.
-            self.tell_later = (self.tell_later.0.min(self.now + TELL_LATER), served);
+        let mut targets = self.push_targets();
+        if !self.within_push_rate() {
+            // Too many at once: a little later, all of them are announced together.
+            let at = self.deferred.at.min(self.now + ANNOUNCE_INTERVAL);
+            self.deferred = DeferredAnnouncements { at, receivers: targets };
             return;
         }
-        if piece.data.len() <= INLINE_BYTES_MAX {
-            for to in served {
-                self.unacknowledged.pushed(self.now, to, prev, index, 0);
-                let message = Message::Commands { fresh: true, more: false, commands: vec![piece.clone()] };
+        if command.data.len() <= INLINE_BYTES_MAX {
+            for to in targets {
+                self.unacknowledged.record(self.now, to, prev, index, 0);
+                let message = Message::Commands { fresh: true, more: false, commands: vec![command.clone()] };
                 out.push(Effect::Send { to, message });
             }
             return;
         }
-        shuffle(&mut self.rand, &mut served);
-        self.tell_later.1 = served;
-        self.tell_lot(out);
+        shuffle(&mut self.rand, &mut targets);
+        self.deferred.receivers = targets;
+        self.announce_batch(out);
     }
 
-    /// The chain goes on from here: whoever is behind can't get what came before in commands, and is given the
-    /// whole. Without this the next piece would claim to follow on what was held before.
-    pub(super) fn restored(&mut self, index: LogIndex) {
+    /// The log now has a snapshot at `index`, where the chain begins anew: a node that is behind can't get the commands
+    /// before, and is given a snapshot. Otherwise the next command would claim to follow what was held before.
+    pub(super) fn handle_restored(&mut self, index: LogIndex) {
         if self.mode == Mode::Follower || index <= self.index {
             return;
         }
-        self.ring.clear();
+        self.recent.clear();
         self.advance(index, 0);
     }
 
-    /// Tells a few of a big command; the next lot hears of it later, when most have it from each other.
-    pub(super) fn tell_lot(&mut self, out: &mut Vec<Effect>) {
-        let left = self.tell_later.1.len().saturating_sub(BIG_FANOUT);
-        let transfer = Micros::from(self.ring.latest_bytes()) * ASK_BYTE;
-        for to in self.tell_later.1.split_off(left) {
-            self.unacknowledged.pushed(self.now, to, self.ring.before_last(), self.index, transfer);
-            self.tell(to, true, out);
+    /// Announces a large command to a few followers. The next batch follows later, when most of them can pull it from each
+    /// other.
+    pub(super) fn announce_batch(&mut self, out: &mut Vec<Effect>) {
+        let remaining = self.deferred.receivers.len().saturating_sub(ANNOUNCE_BATCH);
+        let transfer = Micros::from(self.recent.latest_bytes()) * TRANSFER_MICROS_PER_BYTE;
+        for to in self.deferred.receivers.split_off(remaining) {
+            self.unacknowledged.record(self.now, to, self.recent.latest_prev(), self.index, transfer);
+            self.send_digest(to, true, out);
         }
-        self.tell_later.0 = if left > 0 { self.now + TELL_LATER } else { Micros::MAX };
+        self.deferred.at = if remaining > 0 { self.now + ANNOUNCE_INTERVAL } else { Micros::MAX };
     }
 
-    /// What was pushed and not acknowledged goes once more where it is little, so that it needs no ask, of which datagrams
-    /// may be lost as well; and in any case that it is there, which wants an acknowledgement.
-    pub(super) fn push_again(&mut self, overdue: Overdue, out: &mut Vec<Effect>) {
-        let Overdue { address: to, holds, insist } = overdue;
-        if insist {
+    /// Repeats a push that was not acknowledged. Commands of a small total size are sent again themselves, so that the
+    /// follower need not pull them by datagrams that may get lost as well. In any case they are announced again, which asks
+    /// for an acknowledgement.
+    pub(super) fn repeat_push(&mut self, overdue: OverduePush, out: &mut Vec<Effect>) {
+        let OverduePush { follower: to, held, prefer_stream } = overdue;
+        if prefer_stream {
             out.push(Effect::PreferStream { to });
         }
-        if matches!(self.ring.missing(holds), (1.., bytes) if bytes <= AGAIN_BYTES) {
-            self.send_pieces(to, holds, out);
+        let missing = self.recent.missing_after(held);
+        if missing.commands > 0 && missing.bytes <= REPEAT_BYTES_MAX {
+            self.send_commands_after(to, held, out);
         }
-        self.tell(to, true, out);
+        self.send_digest(to, true, out);
     }
 
-    /// At most so many pushes a second; the rest is left to digests.
-    pub(super) fn may_push(&mut self) -> bool {
-        if self.now - self.pushes.0 >= SECOND {
-            self.pushes = (self.now, 0);
+    /// Counts a push, and returns whether it is within the limit of this second. Beyond it, digests spread the commands.
+    pub(super) fn within_push_rate(&mut self) -> bool {
+        if self.now - self.push_rate.window_start >= SECOND {
+            self.push_rate = PushRate { window_start: self.now, pushes: 0 };
         }
-        self.pushes.1 += 1;
-        self.pushes.1 <= PUSHES_MAX
+        self.push_rate.pushes += 1;
+        self.push_rate.pushes <= PUSHES_PER_SECOND_MAX
     }
 
-    pub(super) fn tell_standing(&mut self, to: NodeAddress, out: &mut Vec<Effect>) {
+    /// Answers how fresh the state held here is. A follower that asks watches this source from then on.
+    pub(super) fn answer_freshness_request(&mut self, to: NodeAddress, out: &mut Vec<Effect>) {
         if self.mode == Mode::Follower {
             return;
         }
-        // Other hubs ask as well, whether they are heard; nothing is pushed to them.
-        if self.hubs.binary_search(&to).is_err() {
-            self.watchers.renewed(self.now, to);
+        // Other sources ask only to find out whether they are heard; nothing is pushed to them.
+        if self.sources.binary_search(&to).is_err() {
+            self.watchers.renew(self.now, to);
         }
-        let (freshness, at) = self.stands;
-        let freshness = match freshness {
-            Freshness::Proven { term, age } => Freshness::Proven { term, age: age + (self.now - at) },
+        let elapsed = self.now - self.own_freshness.at;
+        let freshness = match self.own_freshness.freshness {
+            Freshness::Proven { term, age } => Freshness::Proven { term, age: age + elapsed },
             other => other,
         };
         out.push(Effect::Send { to, message: Message::FreshnessProof { index: self.index, freshness } });
--- a/crates/replication/src/node/snapshots.rs
+++ b/crates/replication/src/node/snapshots.rs
@@ -1,68 +1,79 @@
-//! Whole states, where commands are missing or would be more: sent at a pace, kept for others, taken over.
+//! Snapshots, for nodes to which the commands they lack are no longer kept or would be larger: sent at a limited rate,
+//! cached for others, and taken over.
 
 use super::*;
 
 impl Replicator {
-    /// Whether a whole state of so many bytes may be sent now; counts it.
-    pub(super) fn may_send(&mut self, bytes: usize) -> bool {
-        let earned = (self.now - self.may_send.1) / MS * WHOLES_MILLI;
+    /// Whether a snapshot of this size may be sent now; if so, takes it from the allowance.
+    pub(super) fn take_snapshot_allowance(&mut self, bytes: usize) -> bool {
+        let allowance = &mut self.snapshot_allowance;
+        let earned = (self.now - allowance.refilled_at) / MS * SNAPSHOT_BYTES_PER_MS;
         if earned > 0 {
-            self.may_send = (self.may_send.0.saturating_add(earned).min(WHOLES_MOST), self.now);
+            allowance.bytes = allowance.bytes.saturating_add(earned).min(SNAPSHOT_BURST_BYTES);
+            allowance.refilled_at = self.now;
         }
-        let may = self.may_send.0 > 0 && (bytes as i64 <= self.may_send.0 || self.may_send.0 == WHOLES_MOST);
-        if may {
-            self.may_send.0 -= bytes as i64;
+        let allowed = allowance.bytes > 0
+            && (bytes as i64 <= allowance.bytes || allowance.bytes == SNAPSHOT_BURST_BYTES);
+        if allowed {
+            allowance.bytes -= bytes as i64;
         }
-        may
+        allowed
     }
 
-    /// Sends a whole state, if that is not too much at once, behind a word of how much it is.
-    pub(super) fn send_whole(
+    /// Sends a snapshot, if the rate allows it, after a digest that announces its size.
+    pub(super) fn send_snapshot(
         &mut self, to: NodeAddress, index: LogIndex, data: &[u8], out: &mut Vec<Effect>,
     ) {
-        if !self.may_send(data.len()) {
+        if !self.take_snapshot_allowance(data.len()) {
             return;
         }
-        let latest_bytes = u32::try_from(data.len()).unwrap_or(u32::MAX);
-        let until = self.now + CHAIN_KEPT + Micros::from(latest_bytes) * ASK_BYTE;
-        self.chain = (self.chain.0.max(until), data.len().min(CHAIN_BYTES_MAX));
-        out.push(Effect::Send { to, message: Message::Digest { index, latest_bytes, fresh: false } });
+        let snapshot_bytes = u32::try_from(data.len()).unwrap_or(u32::MAX);
+        let transfer = Micros::from(snapshot_bytes) * TRANSFER_MICROS_PER_BYTE;
+        self.extended_retention = ExtendedRetention {
+            until: self.extended_retention.until.max(self.now + EXTENDED_RETENTION + transfer),
+            bytes: data.len().min(EXTENDED_RETENTION_BYTES_MAX),
+        };
+        let digest = Message::Digest { index, latest_bytes: snapshot_bytes, fresh: false };
+        out.push(Effect::Send { to, message: digest });
         out.push(Effect::Send { to, message: Message::Snapshot { index, data: data.to_vec() } });
     }
 
-    pub(super) fn need_whole(&mut self, from: NodeAddress, out: &mut Vec<Effect>) {
-        if let Some(kept) = self.kept.take() {
-            self.send_whole(from, kept.index, &kept.data, out);
-            self.kept = Some(kept);
+    /// Sends the cached snapshot to a node, or asks the driver for one.
+    pub(super) fn provide_snapshot(&mut self, to: NodeAddress, out: &mut Vec<Effect>) {
+        if let Some(cached) = self.cached_snapshot.take() {
+            self.send_snapshot(to, cached.index, &cached.data, out);
+            self.cached_snapshot = Some(cached);
             return;
         }
-        if self.wanting.is_empty() {
+        if self.snapshot_waiters.is_empty() {
             out.push(Effect::TakeSnapshot);
         }
-        if self.wanting.len() < WANTING_MAX && !self.wanting.contains(&from) {
-            self.wanting.push(from);
+        if self.snapshot_waiters.len() < SNAPSHOT_WAITERS_MAX && !self.snapshot_waiters.contains(&to) {
+            self.snapshot_waiters.push(to);
         }
     }
 
-    pub(super) fn whole_told(&mut self, index: LogIndex, data: Vec<u8>, out: &mut Vec<Effect>) {
-        // No command lies between the last one told and a later entry of the log.
+    pub(super) fn handle_snapshot_taken(&mut self, index: LogIndex, data: Vec<u8>, out: &mut Vec<Effect>) {
+        // The driver may give a later entry of the log; there is no command between the last one held here and that.
         let index = index.min(self.index);
-        self.whole_bytes = data.len();
-        for to in std::mem::take(&mut self.wanting) {
-            self.send_whole(to, index, &data, out);
+        self.snapshot_bytes = data.len();
+        for to in std::mem::take(&mut self.snapshot_waiters) {
+            self.send_snapshot(to, index, &data, out);
         }
-        self.kept = Some(Kept { index, data, at: self.now });
+        self.cached_snapshot = Some(CachedSnapshot { index, data, at: self.now });
     }
 
-    pub(super) fn whole(&mut self, from: NodeAddress, index: LogIndex, data: Vec<u8>, out: &mut Vec<Effect>) {
+    pub(super) fn handle_snapshot(
+        &mut self, from: NodeAddress, index: LogIndex, data: Vec<u8>, out: &mut Vec<Effect>,
+    ) {
         if self.mode == Mode::Source || index <= self.index {
             return;
         }
-        self.whole_bytes = data.len();
-        self.ring.clear();
+        self.snapshot_bytes = data.len();
+        self.recent.clear();
         self.advance(index, 0);
         out.push(Effect::Restore { index, data });
         self.apply_early(out);
-        self.go_on(from, false, true, out);
+        self.continue_pull(from, false, true, out);
     }
 }
--- a/crates/replication/src/pushes.rs
+++ b/crates/replication/src/pushes.rs
@@ -1,83 +1,87 @@
-//! Pushes that wait for an acknowledgement, at a source: who was told of which command and has not shown yet that it
-//! holds it. Guards against a follower that is in touch and hears nothing, as its link is full and datagrams are lost.
+//! Pushes that a source waits to be acknowledged, so that it repeats those that were lost. Guards against a follower that
+//! is in touch with the source but does not get its pushes, because its link is full and datagrams are lost.
 
 use std::collections::BTreeMap;
 
 use types::{LogIndex, MS, Micros, NodeAddress, SECOND};
 
-/// A push by datagram should be acknowledged within this, beside what its bytes take.
-const ACKNOWLEDGED: Micros = 200 * MS;
-/// What was not is told again so many times by datagram, since single ones get lost anywhere; after that by stream, once
-/// in so long.
-const BY_DATAGRAM: u32 = 2;
-const AGAIN: Micros = SECOND;
-/// And not more often than this: by then it is gone, or gets it from others.
-const TIMES: u32 = 6;
+/// A push by datagram should be acknowledged within this time, plus that of the transfer of what has to be pulled.
+const ACK_TIMEOUT: Micros = 200 * MS;
+/// A push is first repeated this many times by datagram, since single datagrams can always get lost. After that a stream is
+/// preferred.
+const DATAGRAM_REPEATS: u32 = 2;
+/// Time between repetitions once a stream is preferred.
+const STREAM_REPEAT_INTERVAL: Micros = SECOND;
+/// After this many repetitions the source gives up: by then the follower is gone, or gets the command from others.
+const REPEATS_MAX: u32 = 6;
 
+/// What one follower has been pushed and has not acknowledged.
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
-    /// What it is known to hold at least, and what it was pushed.
-    holds: LogIndex,
+struct PendingPush {
+    /// The follower is known to hold everything up to here.
+    held: LogIndex,
+    /// The newest command pushed.
     index: LogIndex,
-    until: Micros,
-    told_again: u32,
+    deadline: Micros,
+    repeats: u32,
 }
 
-/// A follower that has not acknowledged in time.
+/// A push that was not acknowledged in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Overdue {
-    pub address: NodeAddress,
-    pub holds: LogIndex,
+pub(crate) struct OverduePush {
+    pub follower: NodeAddress,
+    pub held: LogIndex,
     /// Datagrams were lost more than once.
-    pub insist: bool,
+    pub prefer_stream: bool,
 }
 
-/// The followers that are waited for, bounded by those that are pushed to.
+/// The followers whose acknowledgement is awaited; at most one entry for each that is pushed to.
 #[derive(Debug, Default)]
-pub(crate) struct Pushes(BTreeMap<NodeAddress, Waiting>);
+pub(crate) struct UnacknowledgedPushes(BTreeMap<NodeAddress, PendingPush>);
 
-impl Pushes {
-    /// `to` was told of the command at `index`, which follows `prev`; what it has to get may take `transfer` beside a
-    /// word's way.
-    pub fn pushed(
-        &mut self, now: Micros, to: NodeAddress, prev: LogIndex, index: LogIndex, transfer: Micros,
+impl UnacknowledgedPushes {
+    /// Notes that the command at `index`, which follows `prev`, was pushed or announced to a follower. What it has to pull
+    /// may take `transfer` on top of the usual timeout.
+    pub fn record(
+        &mut self, now: Micros, follower: NodeAddress, prev: LogIndex, index: LogIndex, transfer: Micros,
     ) {
-        let until = now + ACKNOWLEDGED + transfer;
-        let waiting = self.0.entry(to).or_insert(Waiting { holds: prev, index, until, told_again: 0 });
-        waiting.index = waiting.index.max(index);
+        let deadline = now + ACK_TIMEOUT + transfer;
+        let pending =
+            self.0.entry(follower).or_insert(PendingPush { held: prev, index, deadline, repeats: 0 });
+        pending.index = pending.index.max(index);
     }
 
-    /// A follower has shown that it holds all up to `index`.
-    pub fn holds(&mut self, address: NodeAddress, index: LogIndex) {
-        let Some(waiting) = self.0.get_mut(&address) else { return };
-        waiting.holds = waiting.holds.max(index);
-        if waiting.index <= index {
-            self.0.remove(&address);
+    /// A follower has shown that it holds everything up to `index`.
+    pub fn acknowledge(&mut self, follower: NodeAddress, index: LogIndex) {
+        let Some(pending) = self.0.get_mut(&follower) else { return };
+        pending.held = pending.held.max(index);
+        if pending.index <= index {
+            self.0.remove(&follower);
         }
     }
 
-    /// Others are not waited for any more.
-    pub fn keep(&mut self, served: impl Fn(NodeAddress) -> bool) {
-        self.0.retain(|address, _| served(*address));
+    /// Stops waiting for the followers that are no longer pushed to.
+    pub fn retain(&mut self, is_target: impl Fn(NodeAddress) -> bool) {
+        self.0.retain(|follower, _| is_target(*follower));
     }
 
-    /// Those that are to be told again now.
-    pub fn overdue(&mut self, now: Micros) -> Vec<Overdue> {
+    /// The pushes to repeat now.
+    pub fn take_overdue(&mut self, now: Micros) -> Vec<OverduePush> {
         let mut overdue = Vec::new();
-        self.0.retain(|address, waiting| {
-            if now < waiting.until {
+        self.0.retain(|follower, pending| {
+            if now < pending.deadline {
                 return true;
             }
-            waiting.told_again += 1;
-            let insist = waiting.told_again > BY_DATAGRAM;
-            waiting.until = now + if insist { AGAIN } else { ACKNOWLEDGED };
-            overdue.push(Overdue { address: *address, holds: waiting.holds, insist });
-            waiting.told_again < TIMES
+            pending.repeats += 1;
+            let prefer_stream = pending.repeats > DATAGRAM_REPEATS;
+            pending.deadline = now + if prefer_stream { STREAM_REPEAT_INTERVAL } else { ACK_TIMEOUT };
+            overdue.push(OverduePush { follower: *follower, held: pending.held, prefer_stream });
+            pending.repeats < REPEATS_MAX
         });
         overdue
     }
 
     pub fn due(&self) -> Micros {
-        self.0.values().map(|waiting| waiting.until).min().unwrap_or(Micros::MAX)
+        self.0.values().map(|pending| pending.deadline).min().unwrap_or(Micros::MAX)
     }
 }
--- a/crates/replication/src/recent.rs
+++ b/crates/replication/src/recent.rs
@@ -1,4 +1,5 @@
-//! Ring (recent commands): what others may still miss, and what came too early here; bounded by count and bytes.
+//! Commands kept in memory: the recent ones, which other nodes may still lack, and those that arrived before the commands
+//! that they build on. Both are bounded in number and bytes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,34 +7,42 @@
 
 use crate::ChainedCommand;
 
-const RING_PIECES_MAX: usize = 4_096;
-const EARLY_PIECES_MAX: usize = 256;
+const RECENT_COMMANDS_MAX: usize = 4_096;
+const EARLY_COMMANDS_MAX: usize = 256;
 const EARLY_BYTES_MAX: usize = 256 * 1024;
 
-/// The latest commands held here, in order, without gaps.
+/// What a node lacks of the recent commands.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Missing {
+    /// 0 where the chain from there is no longer kept.
+    pub commands: usize,
+    pub bytes: usize,
+}
+
+/// The latest commands held here, in order and without gaps.
 #[derive(Debug, Default)]
-pub(crate) struct Ring {
+pub(crate) struct RecentCommands {
     commands: VecDeque<ChainedCommand>,
     bytes: usize,
 }
 
-impl Ring {
-    /// `most`: bytes that are kept.
-    pub fn push(&mut self, piece: ChainedCommand, most: usize) {
-        self.bytes += piece.data.len();
-        self.commands.push_back(piece);
-        self.trim(most);
+impl RecentCommands {
+    /// Appends a command, and drops the oldest ones beyond `bytes_max`.
+    pub fn push(&mut self, command: ChainedCommand, bytes_max: usize) {
+        self.bytes += command.data.len();
+        self.commands.push_back(command);
+        self.trim(bytes_max);
     }
 
-    pub fn trim(&mut self, most: usize) {
-        while self.commands.len() > RING_PIECES_MAX || self.bytes > most {
+    pub fn trim(&mut self, bytes_max: usize) {
+        while self.commands.len() > RECENT_COMMANDS_MAX || self.bytes > bytes_max {
             let Some(oldest) = self.commands.pop_front() else { return };
             self.bytes -= oldest.data.len();
         }
     }
 
     pub fn clear(&mut self) {
-        *self = Ring::default();
+        *self = RecentCommands::default();
     }
 
     pub fn is_empty(&self) -> bool {
@@ -42,63 +51,66 @@
 
     /// Bytes of the latest command.
     pub fn latest_bytes(&self) -> u32 {
-        self.commands.back().map_or(0, |piece| piece.data.len() as u32)
+        self.commands.back().map_or(0, |command| command.data.len() as u32)
     }
 
-    /// What the latest command follows.
-    pub fn before_last(&self) -> LogIndex {
-        self.commands.back().map_or(LogIndex(0), |piece| piece.prev)
+    /// Index of the command before the latest one.
+    pub fn latest_prev(&self) -> LogIndex {
+        self.commands.back().map_or(LogIndex(0), |command| command.prev)
     }
 
-    /// What follows `have`; nothing where the chain from there is not held any more.
-    pub fn after(&self, have: LogIndex) -> impl Iterator<Item = &ChainedCommand> {
-        let first = self.commands.partition_point(|piece| piece.index <= have);
-        let whole = self.commands.get(first).is_some_and(|piece| piece.prev <= have);
-        self.commands.range(if whole { first } else { self.commands.len() }..)
+    /// The commands after `held`; none where the chain from there is no longer kept.
+    pub fn after(&self, held: LogIndex) -> impl Iterator<Item = &ChainedCommand> {
+        let first = self.commands.partition_point(|command| command.index <= held);
+        let unbroken = self.commands.get(first).is_some_and(|command| command.prev <= held);
+        self.commands.range(if unbroken { first } else { self.commands.len() }..)
     }
 
-    /// Count and bytes of what follows `have`.
-    pub fn missing(&self, have: LogIndex) -> (usize, usize) {
-        self.after(have).fold((0, 0), |(count, bytes), piece| (count + 1, bytes + piece.data.len()))
+    /// Number and bytes of the commands after `held`.
+    pub fn missing_after(&self, held: LogIndex) -> Missing {
+        self.after(held).fold(Missing { commands: 0, bytes: 0 }, |missing, command| Missing {
+            commands: missing.commands + 1,
+            bytes: missing.bytes + command.data.len(),
+        })
     }
 }
 
-/// Pieces that came before those they build on.
+/// Commands that arrived before those that they build on.
 #[derive(Debug, Default)]
-pub(crate) struct Early {
+pub(crate) struct EarlyCommands {
     commands: BTreeMap<LogIndex, ChainedCommand>,
     bytes: usize,
 }
 
-impl Early {
-    pub fn has(&self, index: LogIndex) -> bool {
+impl EarlyCommands {
+    pub fn contains(&self, index: LogIndex) -> bool {
         self.commands.contains_key(&index)
     }
 
-    /// Keeps a piece for later; the farthest ahead makes room.
-    pub fn keep(&mut self, piece: ChainedCommand) {
-        if self.has(piece.index) {
+    /// Keeps a command for later, and drops those farthest ahead beyond the limits.
+    pub fn insert(&mut self, command: ChainedCommand) {
+        if self.contains(command.index) {
             return;
         }
-        self.bytes += piece.data.len();
-        self.commands.insert(piece.index, piece);
-        while self.commands.len() > EARLY_PIECES_MAX || self.bytes > EARLY_BYTES_MAX {
+        self.bytes += command.data.len();
+        self.commands.insert(command.index, command);
+        while self.commands.len() > EARLY_COMMANDS_MAX || self.bytes > EARLY_BYTES_MAX {
             let Some((_, farthest)) = self.commands.pop_last() else { return };
             self.bytes -= farthest.data.len();
         }
     }
 
-    /// The piece that fits after `have`, if it is here; older ones are dropped.
-    pub fn next(&mut self, have: LogIndex) -> Option<ChainedCommand> {
+    /// Takes the command that can be applied after `held`, if it is here, and drops older ones.
+    pub fn take_next(&mut self, held: LogIndex) -> Option<ChainedCommand> {
         loop {
             let first = self.commands.first_entry()?;
-            if first.get().index > have && first.get().prev > have {
+            if first.get().index > held && first.get().prev > held {
                 return None;
             }
-            let piece = first.remove();
-            self.bytes -= piece.data.len();
-            if piece.index > have {
-                return Some(piece);
+            let command = first.remove();
+            self.bytes -= command.data.len();
+            if command.index > held {
+                return Some(command);
             }
         }
     }
--- a/crates/replication/src/watch.rs
+++ b/crates/replication/src/watch.rs
@@ -1,10 +1,11 @@
-//! Watches, at a follower: it chooses the sources that are to serve it, and renews its watch at each of them by asking how
-//! old their news is. An answer is a sign of life and tells up to where the log is ordered, so that a gap is found by
-//! silence or by age, and not only by what others believe of this node. A source that is silent, or whose news gets old, is
-//! left for another one.
+//! The sources that a follower watches. The follower chooses them itself, and renews its watch at each by asking how fresh
+//! the source's state is. An answer is a sign of life and says up to where the log is committed, so that a gap is found by
+//! a source's silence or by the age of its state, and not only by what others believe of this node. A source that is
+//! silent, or whose state is stale, is dropped for another one.
 //!
-//! Guards against duties that each source works out from its own view of who is up: whoever falls between the views, is
-//! held dead, or belongs to a source that is cut off, would be missed by nobody. See `docs/replication.md`, "Watches".
+//! The alternative, each source working out from its own view of the membership whom to push to, fails where the views
+//! differ: nobody would push to a follower that falls between two views, is wrongly believed dead, or is assigned to a
+//! source that is cut off. See `docs/replication.md`, "Watches".
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -13,105 +14,127 @@
 
 use crate::{Effect, Freshness, Message};
 
-/// Sources that are watched at once: with one, each failure of it would be a wait.
-const SOURCES: usize = 2;
-/// And while it goes from one to another, as the one before is left only once the new one serves.
-const SOURCES_MAX: usize = 4;
-/// Between an ask that was answered and the next one; and after one that was not.
-const RENEW: Micros = 500 * MS;
-const RENEW_UNANSWERED: Micros = 250 * MS;
-/// A source that has been silent for so long is asked by stream, and for so long is left for another one.
-const INSIST_AFTER: Micros = SECOND;
-const LEAVE_AFTER: Micros = 1_500 * MS;
-/// A source whose news are older than this is left as well. Followers of a leader prove theirs by an election span, 0.7 s
-/// at most, before its last beat.
-const OLD: Micros = 2 * SECOND;
-/// What a source proves to have is pushed by it as well, or told of where it is much; if it is not held here by then, it is
-/// asked for.
-const MISSED_AFTER: Micros = 600 * MS;
-/// So many sources are left one after the other before the waits grow, up to this many times as long. Guards against a
-/// crowd that goes from source to source while none has a majority.
-const LEAVES_BEFORE_BACKOFF: u32 = 4;
-const BACKOFF_MAX: u32 = 4;
-/// One that was left is not wanted again for so long, where there are others.
-const LEFT_FOR: Micros = 5 * SECOND;
+/// Sources watched at the same time. With only one, each failure of it would be a pause.
+const WATCHED_SOURCES: usize = 2;
+/// The same while changing from one to another, since the old one is dropped only once the new one answers.
+const WATCHED_SOURCES_MAX: usize = 4;
+/// From a request that was answered to the next one.
+const RENEWAL_INTERVAL: Micros = 500 * MS;
+/// From a request that was not answered to the next one.
+const RETRY_INTERVAL: Micros = 250 * MS;
+/// A source that has been silent for this long is asked by stream.
+const STREAM_AFTER_SILENCE: Micros = SECOND;
+/// A source that has been silent or stale for this long is dropped for another one.
+const DROP_AFTER: Micros = 1_500 * MS;
+/// Largest age of a source's state that is not stale. A follower of a leader proves its state for the time of the leader's
+/// last heartbeat less one election timeout, which is at most 0.7 s.
+const STATE_AGE_MAX: Micros = 2 * SECOND;
+/// A source is expected to push what it has proved to hold, or to announce it if it is large. What is not held here after
+/// this time is pulled.
+const PUSH_TIMEOUT: Micros = 600 * MS;
+/// After each such number of sources dropped in a row, `DROP_AFTER` grows by its base value. Guards against many followers
+/// moving from source to source while none of the sources has a majority.
+const DROPS_PER_BACKOFF_STEP: u32 = 4;
+/// Largest multiple of `DROP_AFTER`.
+const BACKOFF_FACTOR_MAX: u32 = 4;
+/// A source that was dropped is not chosen again for this long, if there are others.
+const AVOIDED_AFTER_DROP: Micros = 5 * SECOND;
 
 /// One source that is watched.
 #[derive(Debug)]
 struct Watch {
     source: NodeAddress,
-    since: Micros,
-    asked: Option<Micros>,
-    heard: Option<Micros>,
-    /// As of when its news were known to be the newest, by the own clock.
-    as_of: Option<Micros>,
-    insisted: bool,
+    started_at: Micros,
+    last_request: Option<Micros>,
+    last_answer: Option<Micros>,
+    /// The latest time of this node's clock for which the source's state is proved to have been the newest.
+    fresh_as_of: Option<Micros>,
+    /// A stream was asked for since the last answer.
+    stream_preferred: bool,
 }
 
 impl Watch {
-    fn at(source: NodeAddress, now: Micros) -> Watch {
-        Watch { source, since: now, asked: None, heard: None, as_of: None, insisted: false }
+    fn new(source: NodeAddress, now: Micros) -> Watch {
+        Watch {
+            source,
+            started_at: now,
+            last_request: None,
+            last_answer: None,
+            fresh_as_of: None,
+            stream_preferred: false,
+        }
     }
 
     fn silent_for(&self, now: Micros) -> Micros {
-        now - self.heard.unwrap_or(self.since)
+        now - self.last_answer.unwrap_or(self.started_at)
     }
 
-    /// Whether it answers, and what it answers is new.
-    fn serves(&self, now: Micros) -> bool {
-        self.as_of.is_some_and(|at| now - at <= OLD)
+    /// Whether it answers, and its state is not stale.
+    fn is_fresh(&self, now: Micros) -> bool {
+        self.fresh_as_of.is_some_and(|at| now - at <= STATE_AGE_MAX)
     }
 
-    fn next_ask(&self) -> Micros {
-        let Some(asked) = self.asked else { return self.since };
-        let answered = self.heard.is_some_and(|heard| heard >= asked);
-        asked + if answered { RENEW } else { RENEW_UNANSWERED }
+    fn next_request(&self) -> Micros {
+        let Some(requested) = self.last_request else { return self.started_at };
+        let answered = self.last_answer.is_some_and(|answered| answered >= requested);
+        requested + if answered { RENEWAL_INTERVAL } else { RETRY_INTERVAL }
     }
 }
 
-/// A proof of more than was held here.
+/// A command that a source has proved to hold, and is expected to push.
 #[derive(Debug)]
-struct Missing {
+struct ExpectedPush {
     index: LogIndex,
     source: NodeAddress,
-    /// Asked for from then on.
-    until: Micros,
+    /// When it is pulled.
+    deadline: Micros,
 }
 
-/// Counters and gauges of a follower's watches, for people who look after the system.
+/// A proof that `as_of` a time of this node's clock, nothing after `index` had been committed.
+#[derive(Clone, Copy, Debug)]
+struct PendingProof {
+    index: LogIndex,
+    as_of: Micros,
+}
+
+/// Counters and gauges of a follower's watches, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WatchStats {
-    /// Sources that were left as they were silent, or as their news got old, since the start.
+    /// Sources dropped since the start because they were silent.
     pub dropped_silent: u64,
+    /// Sources dropped since the start because their state was stale.
     pub dropped_stale: u64,
-    /// Since when what is held here may not be the newest, by the own clock; none before the first proof.
+    /// The latest time of this node's clock for which the state held here is proved to have been the newest; `None` before
+    /// the first proof.
     pub up_to_date_at: Option<Micros>,
 }
 
-/// The sources that one follower watches.
+/// The watches of one follower.
 #[derive(Debug)]
 pub(crate) struct Watches {
     own: NodeAddress,
     watches: Vec<Watch>,
-    left: BTreeMap<NodeAddress, Micros>,
-    left_in_a_row: u32,
-    /// A proof of more than is held here yet: what is to be held, and as of when that is the newest.
-    pending: Option<(LogIndex, Micros)>,
-    missing: Option<Missing>,
-    next: Micros,
+    /// When sources were dropped, of those that are to be avoided.
+    dropped: BTreeMap<NodeAddress, Micros>,
+    /// Sources dropped since one last proved a fresh state.
+    dropped_in_a_row: u32,
+    /// The latest proof of more than is held here.
+    pending_proof: Option<PendingProof>,
+    expected_push: Option<ExpectedPush>,
+    next_maintenance: Micros,
     stats: WatchStats,
 }
 
 impl Watches {
-    pub fn of(own: NodeAddress) -> Watches {
+    pub fn new(own: NodeAddress) -> Watches {
         Watches {
             own,
             watches: Vec::new(),
-            left: BTreeMap::new(),
-            left_in_a_row: 0,
-            pending: None,
-            missing: None,
-            next: 0,
+            dropped: BTreeMap::new(),
+            dropped_in_a_row: 0,
+            pending_proof: None,
+            expected_push: None,
+            next_maintenance: 0,
             stats: WatchStats::default(),
         }
     }
@@ -120,128 +143,132 @@
         self.stats
     }
 
-    pub fn has(&self, source: NodeAddress) -> bool {
+    pub fn contains(&self, source: NodeAddress) -> bool {
         self.watches.iter().any(|watch| watch.source == source)
     }
 
-    /// When `tend` has something to do, at the latest.
+    /// When `maintain` or `take_overdue_push` has something to do at the latest.
     pub fn due(&self) -> Micros {
-        let missing = self.missing.as_ref().map_or(Micros::MAX, |missing| missing.until);
-        self.next.min(missing)
+        let push = self.expected_push.as_ref().map_or(Micros::MAX, |expected| expected.deadline);
+        self.next_maintenance.min(push)
     }
 
-    /// Other sources are up than before.
+    /// The set of sources that are up has changed.
     pub fn sources_changed(&mut self) {
-        self.next = 0;
+        self.next_maintenance = 0;
     }
 
-    /// A source has told how old its news is, and up to where they go.
-    pub fn answered(&mut self, now: Micros, from: NodeAddress, index: LogIndex, freshness: Freshness) {
+    /// Notes a source's answer: how old its state can be at most, and the index up to which it holds everything.
+    pub fn record_answer(&mut self, now: Micros, from: NodeAddress, index: LogIndex, freshness: Freshness) {
         let Some(watch) = self.watches.iter_mut().find(|watch| watch.source == from) else { return };
-        watch.heard = Some(now);
-        watch.insisted = false;
+        watch.last_answer = Some(now);
+        watch.stream_preferred = false;
         let Freshness::Proven { age, .. } = freshness else { return };
         let as_of = now - age.max(0);
-        watch.as_of = watch.as_of.max(Some(as_of));
-        if now - as_of <= OLD {
-            self.left_in_a_row = 0;
+        watch.fresh_as_of = watch.fresh_as_of.max(Some(as_of));
+        if now - as_of <= STATE_AGE_MAX {
+            self.dropped_in_a_row = 0;
         }
-        if self.pending.is_none_or(|(_, at)| at < as_of) {
-            self.pending = Some((index, as_of));
+        if self.pending_proof.is_none_or(|pending| pending.as_of < as_of) {
+            self.pending_proof = Some(PendingProof { index, as_of });
         }
     }
 
-    /// A source proved to have what is not held here; it is expected to push it.
-    pub fn misses(&mut self, now: Micros, source: NodeAddress, index: LogIndex) {
-        self.missing.get_or_insert(Missing { index, source, until: now + MISSED_AFTER });
+    /// A source has proved to hold what is not held here, and is expected to push it.
+    pub fn expect_push(&mut self, now: Micros, source: NodeAddress, index: LogIndex) {
+        self.expected_push.get_or_insert(ExpectedPush { index, source, deadline: now + PUSH_TIMEOUT });
     }
 
-    /// What was expected and did not come: whom to ask for it now.
-    pub fn overdue(&mut self, now: Micros) -> Option<NodeAddress> {
-        let missing = self.missing.as_mut().filter(|missing| now >= missing.until)?;
-        missing.until = now + MISSED_AFTER;
-        Some(missing.source)
+    /// The source to pull from, if a push that was expected did not come in time.
+    pub fn take_overdue_push(&mut self, now: Micros) -> Option<NodeAddress> {
+        let expected = self.expected_push.as_mut().filter(|expected| now >= expected.deadline)?;
+        expected.deadline = now + PUSH_TIMEOUT;
+        Some(expected.source)
     }
 
-    /// All up to `index` is held here.
-    pub fn holds(&mut self, index: LogIndex) {
-        self.missing.take_if(|missing| missing.index <= index);
-        if let Some((_, as_of)) = self.pending.take_if(|(needs, _)| *needs <= index) {
-            self.stats.up_to_date_at = self.stats.up_to_date_at.max(Some(as_of));
+    /// Notes that everything up to `index` is held here.
+    pub fn index_held(&mut self, index: LogIndex) {
+        self.expected_push.take_if(|expected| expected.index <= index);
+        if let Some(proof) = self.pending_proof.take_if(|proof| proof.index <= index) {
+            self.stats.up_to_date_at = self.stats.up_to_date_at.max(Some(proof.as_of));
         }
     }
 
-    /// Leaves sources that are silent or old, goes to others among those that are `up`, and asks those whose time has come.
-    pub fn tend(&mut self, now: Micros, up: &[NodeAddress], out: &mut Vec<Effect>) {
-        if now < self.next {
+    /// Drops sources that are silent or stale, watches others of those that are `up`, and sends the requests that are due.
+    pub fn maintain(&mut self, now: Micros, up: &[NodeAddress], out: &mut Vec<Effect>) {
+        if now < self.next_maintenance {
             return;
         }
-        let by_stream = self.leave(now);
-        self.go_to_wanted(now, up, by_stream, out);
+        let prefer_streams = self.drop_failing(now);
+        self.watch_wanted(now, up, prefer_streams, out);
         for watch in &mut self.watches {
-            if !watch.insisted && watch.silent_for(now) >= INSIST_AFTER {
-                watch.insisted = true;
+            if !watch.stream_preferred && watch.silent_for(now) >= STREAM_AFTER_SILENCE {
+                watch.stream_preferred = true;
                 out.push(Effect::PreferStream { to: watch.source });
             }
-            if now >= watch.next_ask() {
-                watch.asked = Some(now);
+            if now >= watch.next_request() {
+                watch.last_request = Some(now);
                 out.push(Effect::Send { to: watch.source, message: Message::FreshnessRequest });
             }
         }
-        self.next = self.watches.iter().map(Watch::next_ask).min().unwrap_or(Micros::MAX);
+        self.next_maintenance = self.watches.iter().map(Watch::next_request).min().unwrap_or(Micros::MAX);
     }
 
-    /// Leaves those that are silent or old; whether one was silent.
-    fn leave(&mut self, now: Micros) -> bool {
-        self.left.retain(|_, at| now - *at < LEFT_FOR);
-        let longer = (1 + self.left_in_a_row / LEAVES_BEFORE_BACKOFF).min(BACKOFF_MAX);
-        let patience = LEAVE_AFTER * Micros::from(longer);
+    /// Drops the sources that are silent or stale, and returns whether one of them was silent.
+    fn drop_failing(&mut self, now: Micros) -> bool {
+        self.dropped.retain(|_, at| now - *at < AVOIDED_AFTER_DROP);
+        let backoff = (1 + self.dropped_in_a_row / DROPS_PER_BACKOFF_STEP).min(BACKOFF_FACTOR_MAX);
+        let drop_after = DROP_AFTER * Micros::from(backoff);
         let before = self.stats;
-        let (left, stats, in_a_row) = (&mut self.left, &mut self.stats, &mut self.left_in_a_row);
+        let (dropped, stats, in_a_row) = (&mut self.dropped, &mut self.stats, &mut self.dropped_in_a_row);
         self.watches.retain(|watch| {
-            let silent = watch.silent_for(now) >= patience;
-            // One that is silent gets old as well: it is the silence that counts, and that is answered by a stream.
-            let speaks = watch.silent_for(now) < INSIST_AFTER;
-            let old = speaks && now - watch.since >= patience && !watch.serves(now);
-            if silent || old {
-                left.insert(watch.source, now);
+            let silent = watch.silent_for(now) >= drop_after;
+            // The state of a silent source gets stale as well. Such a source counts as silent, to which the answer is a
+            // stream.
+            let answering = watch.silent_for(now) < STREAM_AFTER_SILENCE;
+            let stale = answering && now - watch.started_at >= drop_after && !watch.is_fresh(now);
+            if silent || stale {
+                dropped.insert(watch.source, now);
                 *in_a_row += 1;
                 stats.dropped_silent += u64::from(silent);
                 stats.dropped_stale += u64::from(!silent);
             }
-            !(silent || old)
+            !(silent || stale)
         });
         self.stats.dropped_silent > before.dropped_silent
     }
 
-    /// Adds those that are wanted and not watched; those that are watched and not wanted go once the others serve.
-    fn go_to_wanted(&mut self, now: Micros, up: &[NodeAddress], by_stream: bool, out: &mut Vec<Effect>) {
+    /// Adds the sources that are wanted and not watched. Those that are no longer wanted are dropped once all that are
+    /// wanted answer with a fresh state.
+    fn watch_wanted(&mut self, now: Micros, up: &[NodeAddress], prefer_streams: bool, out: &mut Vec<Effect>) {
         let wanted = self.wanted(up);
         for source in &wanted {
-            if !self.has(*source) && self.watches.len() < SOURCES_MAX {
-                self.watches.push(Watch::at(*source, now));
-                out.extend(by_stream.then_some(Effect::PreferStream { to: *source }));
+            if !self.contains(*source) && self.watches.len() < WATCHED_SOURCES_MAX {
+                self.watches.push(Watch::new(*source, now));
+                out.extend(prefer_streams.then_some(Effect::PreferStream { to: *source }));
             }
         }
-        let serves = |source: &NodeAddress| {
-            self.watches.iter().any(|watch| watch.source == *source && watch.serves(now))
+        let is_fresh = |source: &NodeAddress| {
+            self.watches.iter().any(|watch| watch.source == *source && watch.is_fresh(now))
         };
-        if !wanted.is_empty() && wanted.iter().all(serves) {
+        if !wanted.is_empty() && wanted.iter().all(is_fresh) {
             self.watches.retain(|watch| wanted.contains(&watch.source));
         }
     }
 
-    /// The sources that are to serve this node: by rendezvous hashing, so that followers spread evenly and few move
-    /// where a source comes or goes. One that was left lately only where there are no others.
+    /// The sources that this node should watch, by rendezvous hashing, so that followers spread evenly and few of them move
+    /// when a source comes or goes. Sources dropped lately come last.
     fn wanted(&self, up: &[NodeAddress]) -> Vec<NodeAddress> {
         let mut ranked: Vec<NodeAddress> = up.to_vec();
-        ranked.sort_by_cached_key(|source| (self.left.contains_key(source), rank(self.own, *source)));
-        ranked.truncate(SOURCES);
+        ranked.sort_by_cached_key(|source| {
+            (self.dropped.contains_key(source), rendezvous_rank(self.own, *source))
+        });
+        ranked.truncate(WATCHED_SOURCES);
         ranked
     }
 }
 
-fn rank(follower: NodeAddress, source: NodeAddress) -> u64 {
+fn rendezvous_rank(follower: NodeAddress, source: NodeAddress) -> u64 {
     let mut hasher = DefaultHasher::new();
     (follower, source).hash(&mut hasher);
     hasher.finish()
--- a/crates/replication/src/watchers.rs
+++ b/crates/replication/src/watchers.rs
@@ -1,5 +1,5 @@
-//! Watchers, at a source: the followers that have asked it to serve them, each for a while. Who is pushed to is decided by
-//! them and not by what this source believes of their health.
+//! The followers that watch a source: each has asked to be pushed to, and renews that request regularly. Whom a source
+//! pushes to is decided by the followers, not by what the source believes of their health.
 
 use std::collections::BTreeMap;
 
@@ -7,50 +7,50 @@
 
 use crate::PEERS_MAX;
 
-/// A follower that has not renewed its watch within this is served no more: six of its asks.
-const LASTS: Micros = 3 * SECOND;
-const LOOK_EVERY: Micros = SECOND / 2;
+/// A follower that has not renewed its watch within this time is no longer pushed to; it is six renewal intervals.
+const WATCH_DURATION: Micros = 3 * SECOND;
+/// Time between searches for watches that have expired.
+const EXPIRY_CHECK_INTERVAL: Micros = SECOND / 2;
 
 /// The followers that watch this source.
 #[derive(Debug, Default)]
 pub(crate) struct Watchers {
-    /// Until when each is served.
-    until: BTreeMap<NodeAddress, Micros>,
-    changes: u64,
-    next_look: Micros,
+    expires_at: BTreeMap<NodeAddress, Micros>,
+    revision: u64,
+    next_expiry_check: Micros,
 }
 
 impl Watchers {
-    /// A follower has asked; more than `PEERS_MAX` at once are not taken.
-    pub fn renewed(&mut self, now: Micros, follower: NodeAddress) {
-        let known = self.until.contains_key(&follower);
-        if known || self.until.len() < PEERS_MAX {
-            self.until.insert(follower, now + LASTS);
-            self.changes += u64::from(!known);
+    /// Starts or renews a follower's watch. New ones beyond `PEERS_MAX` are ignored.
+    pub fn renew(&mut self, now: Micros, follower: NodeAddress) {
+        let known = self.expires_at.contains_key(&follower);
+        if known || self.expires_at.len() < PEERS_MAX {
+            self.expires_at.insert(follower, now + WATCH_DURATION);
+            self.revision += u64::from(!known);
         }
     }
 
-    /// Forgets those that have not renewed their watch.
+    /// Drops the followers whose watch has expired.
     pub fn expire(&mut self, now: Micros) {
-        if now < self.next_look {
+        if now < self.next_expiry_check {
             return;
         }
-        self.next_look = now + LOOK_EVERY;
-        let before = self.until.len();
-        self.until.retain(|_, until| *until > now);
-        self.changes += u64::from(self.until.len() != before);
+        self.next_expiry_check = now + EXPIRY_CHECK_INTERVAL;
+        let before = self.expires_at.len();
+        self.expires_at.retain(|_, expires_at| *expires_at > now);
+        self.revision += u64::from(self.expires_at.len() != before);
     }
 
-    pub fn has(&self, follower: NodeAddress) -> bool {
-        self.until.contains_key(&follower)
+    pub fn contains(&self, follower: NodeAddress) -> bool {
+        self.expires_at.contains_key(&follower)
     }
 
     pub fn addresses(&self) -> impl Iterator<Item = NodeAddress> {
-        self.until.keys().copied()
+        self.expires_at.keys().copied()
     }
 
-    /// Rises whenever another one watches, or one no longer does.
-    pub fn changes(&self) -> u64 {
-        self.changes
+    /// Rises whenever the set of followers changes.
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 }
