--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -451,7 +451,7 @@
         out.push(Effect::Send { to: address, message });
     }
 
-    /// Asks whoever is at an address to describe itself, and tells it which member is believed to be there.
+    /// Asks whoever is at an address to describe itself, and lets it know which member is believed to be there.
     fn request_identity(&mut self, address: NodeAddress, out: &mut Vec<Effect>) {
         let now = self.now;
         let interval = self.timing.ack_timeout;
@@ -686,7 +686,7 @@
     }
 
     /// Handles an update about this node's own address. Anything but this run being alive is refuted by a higher
-    /// incarnation. Returns whether the sender has to be told.
+    /// incarnation. Returns whether the sender needs this node's own update.
     fn handle_own_update(&mut self, update: &MemberUpdate) -> bool {
         let correct = update.member.run_id == self.own.run_id && update.status == MemberStatus::Alive;
         if correct {
@@ -778,7 +778,7 @@
         out.push(Effect::Send { to, message });
     }
 
-    /// Ends this run in order: several members are told at once, and pass it on.
+    /// Ends this run in order: several members are notified at once, and pass it on.
     fn leave(&mut self, out: &mut Vec<Effect>) {
         if self.lifecycle == Lifecycle::Left {
             return;
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,7 +1,7 @@
 //! Replication of committed commands to the nodes that don't vote on them. Sources, which have the ordered log, push each
 //! command to the followers that watch them; followers pass it on to a few others. Gaps are found by digests and closed by
 //! pulls, or by a snapshot of the whole state where commands are no longer kept. Within one run a node's index never goes
-//! back. No I/O: time and events go in, effects come out.
+//! back. Control nodes are sources and gateways are followers. No I/O: time and events go in, effects come out.
 //!
 //! Commands form a chain in which each names the index of the command before it, since the log has entries that are no
 //! commands, so their indices have gaps. A command can be applied where its `prev` is not above the index held and its own
--- a/crates/replication/src/node/mod.rs
+++ b/crates/replication/src/node/mod.rs
@@ -44,6 +44,7 @@
 const PULL_RETRIES_MAX: u32 = 2;
 /// A pull that has got no sign of an answer for this long may be replaced by one to a node that announces something now.
 const PULL_SILENCE: Micros = 100 * MS;
+/// Nodes remembered that announced more than is held here.
 const ANNOUNCERS_MAX: usize = 8;
 /// Largest answer to one pull; the rest is pulled again.
 const PULL_ANSWER_BYTES_MAX: usize = 128 * 1024;
@@ -64,6 +65,7 @@
 const EXTENDED_RETENTION: Micros = 5 * SECOND;
 /// Bytes of commands that are kept in this way on top of `RECENT_BYTES_MAX`.
 const EXTENDED_RETENTION_BYTES_MAX: usize = 4_000_000;
+/// Nodes that wait for the same snapshot; the pulls of others get no answer.
 const SNAPSHOT_WAITERS_MAX: usize = 128;
 /// Commands pushed within a second; a source that reads its log again at the start must not flood the followers.
 const PUSHES_PER_SECOND_MAX: u32 = 32;
--- a/crates/replication/src/recent.rs
+++ b/crates/replication/src/recent.rs
@@ -7,7 +7,9 @@
 
 use crate::ChainedCommand;
 
+/// Recent commands kept, beside the limit in bytes that `push` gets.
 const RECENT_COMMANDS_MAX: usize = 4_096;
+/// Commands kept that arrived early, and their bytes.
 const EARLY_COMMANDS_MAX: usize = 256;
 const EARLY_BYTES_MAX: usize = 256 * 1024;
 
--- a/crates/replication/src/watch.rs
+++ b/crates/replication/src/watch.rs
@@ -90,7 +90,7 @@
     deadline: Micros,
 }
 
-/// A proof that `as_of` a time of this node's clock, nothing after `index` had been committed.
+/// A proof that at the time `as_of` of this node's clock, nothing after `index` had been committed.
 #[derive(Clone, Copy, Debug)]
 struct PendingProof {
     index: LogIndex,
