--- a/crates/registry/src/drains.rs
+++ b/crates/registry/src/drains.rs
@@ -1,148 +1,165 @@
-//! Drains in flight: who was told, who has answered, who waits for the acknowledgement.
+//! Drains in progress: which nodes were notified, which have acknowledged, and which calls wait for the
+//! result.
 
 use types::{CallId, MS, Micros, NodeAddress, SECOND};
 
 use crate::InstanceId;
 
-/// Most drains in flight at once, and callers that wait for one.
-pub(crate) const MOST_ROUNDS: usize = 1024;
-const MOST_ASKS: usize = 16;
-/// Between sendings to those that have not answered while someone waits; after that it is `Timing::drain_resend_interval`.
-const RETRY: Micros = 100 * MS;
-/// Foyers that have not answered so many sendings should be told by stream.
-const BY_DATAGRAM: u32 = 2;
-/// How long those that don't answer are told again.
-const LASTS: Micros = 2 * SECOND;
-/// How long the answers of all foyers are waited for.
-const FOYERS_WAIT: Micros = 250 * MS;
-
-/// One life that leaves, until enough others know.
+/// Most drains in progress at once.
+pub(crate) const MAX_ROUNDS: usize = 1024;
+/// Most calls that wait for one drain.
+const MAX_WAITING_CALLS: usize = 16;
+/// Time between two notices to nodes that have not acknowledged, while a call waits; after that it is
+/// `Timing::drain_resend_interval`.
+const RESEND_INTERVAL: Micros = 100 * MS;
+/// Gateways that have not acknowledged this many notices should get the next ones by stream.
+const MAX_DATAGRAM_SENDS: u32 = 2;
+/// How long nodes that don't acknowledge are notified again.
+const ROUND_DURATION: Micros = 2 * SECOND;
+/// How long the acknowledgements of all gateways are waited for.
+const GATEWAY_ACK_WAIT: Micros = 250 * MS;
+
+/// Notices of one instance that is draining or gone, until enough other nodes know.
 #[derive(Debug)]
-pub(crate) struct Round {
+pub(crate) struct DrainRound {
     pub number: u64,
     pub id: InstanceId,
-    /// Until when the answers of all foyers are waited for, and when those that don't answer are given up.
-    foyers_until: Micros,
-    ends: Micros,
-    /// Callers, each with the moment at which its answer is due.
-    asks: Vec<(CallId, Micros)>,
-    /// Foyers told directly.
-    pub foyers: Vec<NodeAddress>,
-    /// Whether all foyers were told directly and are still waited for: worth a little, not a failure.
-    all_foyers: bool,
-    heard: Vec<NodeAddress>,
+    /// Until when the acknowledgements of all gateways are waited for.
+    gateways_deadline: Micros,
+    /// When nodes that don't acknowledge are given up.
+    gives_up_at: Micros,
+    /// Waiting calls, each with the time at which its answer is due.
+    waiting_calls: Vec<(CallId, Micros)>,
+    /// Gateways that are notified directly.
+    pub gateways: Vec<NodeAddress>,
+    /// Whether all gateways are notified directly and still waited for. Their acknowledgements are worth a
+    /// short wait; without them the drain succeeds all the same.
+    awaits_all_gateways: bool,
+    acknowledged_by: Vec<NodeAddress>,
     next_send: Micros,
-    sendings: u32,
-    known: bool,
+    sends: u32,
+    /// Whether enough other nodes know.
+    confirmed: bool,
 }
 
-/// Who has to know before a drain is acknowledged.
+/// The nodes that have to know of a drain before it is acknowledged.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Need<'a> {
-    /// The ordered voters, this hub among them where it is one.
+pub(crate) struct AckQuorum<'a> {
+    /// The voters of the replicated log, including this node if it is one.
     pub voters: &'a [NodeAddress],
-    pub own: NodeAddress,
+    pub own_address: NodeAddress,
 }
 
-impl Round {
+impl DrainRound {
     pub fn new(
-        number: u64, id: InstanceId, now: Micros, foyers: Vec<NodeAddress>, all_foyers: bool,
-    ) -> Round {
-        let (asks, heard) = (Vec::new(), Vec::new());
-        let foyers_until = if all_foyers { now + FOYERS_WAIT } else { Micros::MAX };
-        let (ends, next_send) = (now + LASTS, now);
-        Round {
+        number: u64, id: InstanceId, now: Micros, gateways: Vec<NodeAddress>, awaits_all_gateways: bool,
+    ) -> DrainRound {
+        DrainRound {
             number,
             id,
-            foyers_until,
-            ends,
-            asks,
-            foyers,
-            all_foyers,
-            heard,
-            next_send,
-            sendings: 0,
-            known: false,
+            gateways_deadline: if awaits_all_gateways { now + GATEWAY_ACK_WAIT } else { Micros::MAX },
+            gives_up_at: now + ROUND_DURATION,
+            waiting_calls: Vec::new(),
+            gateways,
+            awaits_all_gateways,
+            acknowledged_by: Vec::new(),
+            next_send: now,
+            sends: 0,
+            confirmed: false,
         }
     }
 
-    /// Another caller waits. `false` where too many do.
-    pub fn join(&mut self, call: CallId, until: Micros) -> bool {
-        let room = self.asks.len() < MOST_ASKS;
-        if room {
-            self.asks.push((call, until));
-            self.ends = self.ends.max(until);
+    /// Adds a call whose answer is due at `deadline`. Returns false if too many wait already.
+    pub fn add_call(&mut self, call: CallId, deadline: Micros) -> bool {
+        let has_room = self.waiting_calls.len() < MAX_WAITING_CALLS;
+        if has_room {
+            self.waiting_calls.push((call, deadline));
+            self.gives_up_at = self.gives_up_at.max(deadline);
         }
-        room
+        has_room
     }
 
-    /// `hubs`: those who are told.
-    pub fn heard(&mut self, from: NodeAddress, hubs: &[NodeAddress]) {
-        if !self.heard.contains(&from) && (hubs.contains(&from) || self.foyers.contains(&from)) {
-            self.heard.push(from);
+    /// Records an acknowledgement. It counts only if `from` was notified: one of `registry_nodes` or of the
+    /// gateways.
+    pub fn acknowledged(&mut self, from: NodeAddress, registry_nodes: &[NodeAddress]) {
+        let was_notified = registry_nodes.contains(&from) || self.gateways.contains(&from);
+        if !self.acknowledged_by.contains(&from) && was_notified {
+            self.acknowledged_by.push(from);
         }
     }
 
-    /// Whether a majority of the ordered voters, and at least one other node in any case, know. Never of those that
-    /// this node holds up: one that is cut off for long holds up nobody else, and would be its own majority.
-    fn enough(&self, need: Need) -> bool {
-        let knows = |place: &&NodeAddress| **place == need.own || self.heard.contains(place);
-        let voters = need.voters.iter().filter(knows).count();
-        2 * voters > need.voters.len() && !self.heard.is_empty()
+    /// Whether a majority of the voters, and at least one other node in any case, knows. The majority is
+    /// never taken among the nodes that this node considers up: a node that has been cut off for long
+    /// considers no other node up and would be a majority on its own.
+    fn quorum_reached(&self, quorum: AckQuorum) -> bool {
+        let knows =
+            |voter: &&NodeAddress| **voter == quorum.own_address || self.acknowledged_by.contains(voter);
+        let voters = quorum.voters.iter().filter(knows).count();
+        2 * voters > quorum.voters.len() && !self.acknowledged_by.is_empty()
     }
 
-    /// Callers that get their acknowledgement now. The first time, `confirmed` is to be kept with the life.
-    pub fn take_known(&mut self, now: Micros, need: Need) -> Option<Vec<CallId>> {
-        if now >= self.foyers_until {
-            (self.foyers_until, self.all_foyers) = (Micros::MAX, false);
+    /// Once enough nodes know, returns the calls to acknowledge now; the caller then marks the entry as
+    /// confirmed.
+    pub fn take_confirmed(&mut self, now: Micros, quorum: AckQuorum) -> Option<Vec<CallId>> {
+        if now >= self.gateways_deadline {
+            (self.gateways_deadline, self.awaits_all_gateways) = (Micros::MAX, false);
         }
-        let foyers = !self.all_foyers || self.foyers.iter().all(|place| self.heard.contains(place));
-        self.known |= foyers && self.enough(need);
-        self.known.then(|| self.asks.drain(..).map(|(call, _)| call).collect())
+        let gateways_know = !self.awaits_all_gateways
+            || self.gateways.iter().all(|gateway| self.acknowledged_by.contains(gateway));
+        self.confirmed |= gateways_know && self.quorum_reached(quorum);
+        self.confirmed.then(|| self.waiting_calls.drain(..).map(|(call, _)| call).collect())
     }
 
-    /// Callers whose time is over.
-    pub fn take_late(&mut self, now: Micros) -> Vec<CallId> {
-        let late = self.asks.iter().filter(|(_, until)| *until <= now).map(|(call, _)| *call).collect();
-        self.asks.retain(|(_, until)| *until > now);
-        late
+    /// Removes and returns the calls whose deadline has passed.
+    pub fn take_expired(&mut self, now: Micros) -> Vec<CallId> {
+        let expired = self.waiting_calls.iter().filter(|(_, deadline)| *deadline <= now);
+        let expired = expired.map(|(call, _)| *call).collect();
+        self.waiting_calls.retain(|(_, deadline)| *deadline > now);
+        expired
     }
 
-    /// Those to be told now: all at first, later those that have not answered.
-    pub fn take_send(&mut self, now: Micros, hubs: &[NodeAddress], later: Micros) -> Vec<NodeAddress> {
+    /// If notices are due, the nodes to notify now: all of `registry_nodes` and of the gateways that have not
+    /// acknowledged. `resend_interval` applies once no call waits.
+    pub fn take_recipients(
+        &mut self, now: Micros, registry_nodes: &[NodeAddress], resend_interval: Micros,
+    ) -> Vec<NodeAddress> {
         if now < self.next_send {
             return Vec::new();
         }
-        self.next_send = now + if self.asks.is_empty() { later } else { RETRY };
-        self.sendings += 1;
-        hubs.iter().chain(&self.foyers).filter(|place| !self.heard.contains(place)).copied().collect()
+        self.next_send = now + if self.waiting_calls.is_empty() { resend_interval } else { RESEND_INTERVAL };
+        self.sends += 1;
+        let notified = registry_nodes.iter().chain(&self.gateways);
+        notified.filter(|node| !self.acknowledged_by.contains(node)).copied().collect()
     }
 
-    /// Whether a node that is told now has been mute for so long that datagrams seem to be lost on its way. Hubs that are
-    /// mute are away rather: their links carry no requests.
-    pub fn insists(&self, place: NodeAddress) -> bool {
-        self.sendings > BY_DATAGRAM && self.foyers.contains(&place)
+    /// Whether a node that is notified now has not answered for so long that datagrams to or from it seem to
+    /// get lost. Only for gateways: a registry node that does not answer is more likely down, as its link
+    /// carries no requests.
+    pub fn prefers_stream(&self, node: NodeAddress) -> bool {
+        self.sends > MAX_DATAGRAM_SENDS && self.gateways.contains(&node)
     }
 
-    /// Others are not told any more.
-    pub fn keep_foyers(&mut self, told: impl Fn(NodeAddress) -> bool) {
-        self.foyers.retain(|place| told(*place));
+    /// Stops notifying gateways that are no longer reachable.
+    pub fn retain_gateways(&mut self, is_reachable: impl Fn(NodeAddress) -> bool) {
+        self.gateways.retain(|gateway| is_reachable(*gateway));
     }
 
-    /// Tells it all again: for a caller that came after the round had gone on for a while.
-    pub fn again(&mut self, now: Micros) {
-        self.ends = now + LASTS;
+    /// Starts the notices anew, for a call that came after the round had gone on for a while.
+    pub fn restart(&mut self, now: Micros) {
+        self.gives_up_at = now + ROUND_DURATION;
         self.next_send = now;
     }
 
-    pub fn over(&self, now: Micros, hubs: &[NodeAddress]) -> bool {
-        let all = hubs.iter().chain(&self.foyers).all(|place| self.heard.contains(place));
-        self.asks.is_empty() && (now >= self.ends || (self.known && all))
+    /// Whether no call waits and either all notified nodes have acknowledged or the rest is given up.
+    pub fn is_finished(&self, now: Micros, registry_nodes: &[NodeAddress]) -> bool {
+        let mut notified = registry_nodes.iter().chain(&self.gateways);
+        let all_know = notified.all(|node| self.acknowledged_by.contains(node));
+        self.waiting_calls.is_empty() && (now >= self.gives_up_at || (self.confirmed && all_know))
     }
 
-    /// When it has something to do, at the latest.
-    pub fn due(&self) -> Micros {
-        let asks = self.asks.iter().map(|(_, until)| *until).min().unwrap_or(Micros::MAX);
-        self.next_send.min(self.ends).min(self.foyers_until).min(asks)
+    /// When the round has something to do next, at the latest.
+    pub fn next_due(&self) -> Micros {
+        let calls = self.waiting_calls.iter().map(|(_, deadline)| *deadline).min().unwrap_or(Micros::MAX);
+        self.next_send.min(self.gives_up_at).min(self.gateways_deadline).min(calls)
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,9 +1,13 @@
-//! Registry (instances): which instances there are, by their beats: lives, states, warm-up, addresses used again,
-//! silent ones, drains that others know of before they are acknowledged, copies compared by digests over
-//! ranges and mended from the newer. No I/O: time and events in, effects out.
+//! Registry of service instances: which instances exist, known from their heartbeats. It tracks incarnations,
+//! states, warm-up, reused addresses and instances that fall silent. It acknowledges the drain of an instance
+//! only once enough other nodes know of it, and it repairs differences between the copies on the nodes by
+//! comparing digests over ranges.
 //!
-//! Hubs (prompters) take beats; the hub that took the last one is the instance's owner. Records pass between
-//! nodes when something changed, never for each beat. `docs/cast.md` weighs the ways and tells what is promised.
+//! Sans-I/O: the caller passes in events and the time and carries out the effects.
+//!
+//! Registry nodes (the control nodes) accept heartbeats; the one that accepted the last heartbeat of an
+//! instance owns it. Records travel between nodes when something changed, never for each heartbeat.
+//! `docs/registry.md` compares the alternatives and states the guarantees.
 
 mod drains;
 mod instance_table;
@@ -16,85 +20,99 @@
 
 pub use node::Registry;
 
-/// An instance's own id: one life of it.
+/// Id that an instance chooses for itself. It names one incarnation: a restarted process has another id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceId(pub String);
 
+/// State of one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum InstanceState {
     InService,
-    /// Said nothing for too long; a later beat brings it back.
+    /// No heartbeat for longer than the silence timeout; a later one puts the instance back in service.
     Silent,
-    /// On its way out: no life comes back from here.
+    /// Shutting down. An incarnation never leaves this state except for `Gone`.
     Draining,
     Gone,
 }
 
 impl InstanceState {
-    /// Whether a life in this state is to get nothing more, ever.
+    /// Whether an incarnation in this state must never get another request.
     pub fn is_leaving(self) -> bool {
         matches!(self, InstanceState::Draining | InstanceState::Gone)
     }
 }
 
-/// Spans that depend on the deployment.
+/// Timeouts and intervals that depend on the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// An instance that says nothing for longer is silent.
+    /// An instance without a heartbeat for longer than this is silent.
     pub silence_timeout: Micros,
-    /// A drain that others don't know of within this is answered `NotTaken`. Under the second that an
-    /// instance waits, with room for the way there and back.
+    /// A drain that too few others know of within this time is answered with `Effect::Rejected`. It is below
+    /// the 1 s for which an instance waits for the answer, with room for the round trip.
     pub drain_ack_timeout: Micros,
-    /// A hub that a majority of the voters has not been in touch with for longer sends instances elsewhere: early
-    /// enough for them to be taken by another hub before others call them silent.
+    /// A registry node that has had no contact with a majority of the voters for longer sends instances to
+    /// another node, early enough for that node to accept them before others declare them silent.
     pub contact_timeout: Micros,
-    /// From one comparing with another node to the next, at least; up to two thirds more, by lot.
+    /// Shortest time between two comparisons with other nodes; random jitter adds up to two thirds.
     pub compare_interval: Micros,
-    /// From one telling of a drain that nobody waits for any more to the next.
+    /// Time between two notices of a drain to nodes that have not acknowledged it, once no caller waits for
+    /// it.
     pub drain_resend_interval: Micros,
 }
 
-/// The `DrainS` that the usual spans keep: every node in reach knows an acknowledged drain within 2 s.
+/// The setting `DrainS` that the default intervals satisfy: with them, every reachable node knows of an
+/// acknowledged drain within 2 s.
 const DEFAULT_DRAIN_LIMIT: Micros = 2_500 * MS;
+const DEFAULT_COMPARE_INTERVAL: Micros = 750 * MS;
+const DEFAULT_DRAIN_RESEND_INTERVAL: Micros = 300 * MS;
 
 impl Timing {
-    /// For instances that beat once in `heartbeat`: two lost beats and a late third are forgiven.
-    pub fn for_heartbeat_interval(heartbeat: Micros) -> Timing {
-        let silence_timeout = heartbeat.saturating_mul(26) / 10 + SECOND / 2;
+    /// Timing for instances that send a heartbeat every `heartbeat_interval`: two lost heartbeats and a late
+    /// third are tolerated.
+    pub fn for_heartbeat_interval(heartbeat_interval: Micros) -> Timing {
+        let silence_timeout = heartbeat_interval.saturating_mul(26) / 10 + SECOND / 2;
         Timing {
             silence_timeout,
             drain_ack_timeout: 800 * MS,
             contact_timeout: (silence_timeout / 2).max(2 * SECOND),
-            compare_interval: 750 * MS,
-            drain_resend_interval: 300 * MS,
+            compare_interval: DEFAULT_COMPARE_INTERVAL,
+            drain_resend_interval: DEFAULT_DRAIN_RESEND_INTERVAL,
         }
     }
 
-    /// For a deployment where nothing may be sent to a draining instance later than `drain` after the acknowledgement:
-    /// all by which the last node learns of it comes sooner by as much, down to a quarter of the usual spans.
+    /// Adapts to a deployment where nothing may be sent to a draining instance later than `drain_limit` after
+    /// the drain was acknowledged: the intervals that decide when the last node learns of it shrink in
+    /// proportion, to a quarter of the defaults at the least.
     pub fn for_drain_limit(self, drain_limit: Micros) -> Timing {
         let drain_limit = drain_limit.clamp(DEFAULT_DRAIN_LIMIT / 4, DEFAULT_DRAIN_LIMIT);
         let scaled = |interval: Micros| interval * drain_limit / DEFAULT_DRAIN_LIMIT;
-        Timing { compare_interval: scaled(750 * MS), drain_resend_interval: scaled(300 * MS), ..self }
+        Timing {
+            compare_interval: scaled(DEFAULT_COMPARE_INTERVAL),
+            drain_resend_interval: scaled(DEFAULT_DRAIN_RESEND_INTERVAL),
+            ..self
+        }
     }
 }
 
-/// What a beat says.
+/// Content of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
     pub id: InstanceId,
     pub service: String,
     pub address: SocketAddrV4,
     pub zone: String,
-    /// Of its software.
+    /// Version of the instance's software.
     pub version: String,
+    /// Requests that the instance can process at the same time.
     pub slots: u32,
     pub draining: bool,
     pub warmup_left: Micros,
+    /// Number of the call; each later call of the incarnation has a higher one.
     pub sequence: u64,
 }
 
-/// An instance as it travels between nodes. Clocks differ, so times are spans, as of the moment of sending.
+/// An instance as sent between nodes. Clocks differ between nodes, so times are durations relative to the
+/// moment of sending.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     pub id: InstanceId,
@@ -104,18 +122,20 @@
     pub version: String,
     pub slots: u32,
     pub state: InstanceState,
-    /// Of the call that brought the last change; the owner may have heard later ones.
+    /// Sequence number of the call that made the last change; the owner may have received later calls.
     pub sequence: u64,
-    /// How long ago its first beat came, when this was sent; how much longer it stays slow.
+    /// Time since the first heartbeat.
     pub age: Micros,
+    /// Time until the instance is warm.
     pub warmup_left: Micros,
-    /// How long ago it came into its state.
+    /// Time since the instance entered its state.
     pub state_age: Micros,
-    /// The prompter that takes its beats, and alone says when it has fallen silent.
+    /// The registry node that accepts the instance's heartbeats and alone declares it silent.
     pub owner: NodeAddress,
 }
 
-/// An instance as this node knows it: a record with its spans as moments of the own steady clock.
+/// An instance as this node knows it: a [`Record`] with its durations converted to points in time of the
+/// local steady clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
     pub id: InstanceId,
@@ -126,16 +146,16 @@
     pub slots: u32,
     pub state: InstanceState,
     pub sequence: u64,
-    /// When its first beat came to the system.
+    /// When any node received the first heartbeat.
     pub first_seen: Micros,
-    /// Until when it is slow; in the past once it is warm.
+    /// End of the warm-up; in the past once the instance is warm.
     pub warm_at: Micros,
-    /// When it came into its state.
+    /// When the instance entered its state.
     pub state_since: Micros,
     pub owner: NodeAddress,
 }
 
-/// What two copies of one record are compared by.
+/// What two nodes compare to find out which of them has the newer copy of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordVersion {
     pub id_hash: u64,
@@ -144,49 +164,34 @@
     pub owner: NodeAddress,
 }
 
-/// Number of ranges that the hashes of ids are cut into for comparing.
+/// Number of ranges that the hashes of instance ids are divided into for the comparison of copies.
 pub const DIGEST_RANGES: usize = 16;
 
-/// What nodes say to each other. Each takes at most about 1000 bytes by postcard.
+/// Messages between nodes. Each takes at most about 1000 bytes in postcard's encoding.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// What changed. A hub that is asked to `relay` hands what is new to it to the foyers that it serves.
-    Update {
-        relay: bool,
-        records: Vec<Record>,
-    },
-    /// One that leaves; to be answered by `Heard` once it is known here.
-    DrainNotice {
-        round: u64,
-        record: Record,
-    },
-    DrainAck {
-        round: u64,
-    },
-    /// One sum for each range. One who knows nothing at all says so, and gets everything.
-    Digest {
-        sums: [u64; DIGEST_RANGES],
-        empty: bool,
-    },
-    /// To one who knows nothing: neither do I.
+    /// Changed records. With `relay` set, a registry node forwards what is new to it to the gateways that it
+    /// serves.
+    Update { relay: bool, records: Vec<Record> },
+    /// An instance that is draining or gone. Answered with `DrainAck` once the receiver has stored that.
+    DrainNotice { round: u64, record: Record },
+    /// Acknowledges the `DrainNotice` of the same round.
+    DrainAck { round: u64 },
+    /// One checksum for each range. A sender that knows no instance at all sets `empty` and gets all records.
+    Digest { sums: [u64; DIGEST_RANGES], empty: bool },
+    /// Answer to an `empty` digest from a node that knows no instance either.
     NothingKnown,
-    /// What I have in ranges that differ; bits of `whole` name the ranges that are listed here completely.
-    Versions {
-        complete_ranges: u16,
-        versions: Vec<RecordVersion>,
-    },
-    /// Please give me these, by the hashes of their ids.
-    Request {
-        id_hashes: Vec<u64>,
-    },
-    /// Mends what the other has older or lacks.
-    Records {
-        records: Vec<Record>,
-    },
+    /// Versions of the sender's records in ranges that differ. Bit `n` of `complete_ranges` is set if all
+    /// the sender's records of range `n` are listed.
+    Versions { complete_ranges: u16, versions: Vec<RecordVersion> },
+    /// Asks for the records whose ids have these hashes.
+    Request { id_hashes: Vec<u64> },
+    /// Records that the receiver lacks or has in an older version.
+    Records { records: Vec<Record> },
 }
 
 impl Message {
-    /// The form that brought this word: it is not sent to a node that reads less.
+    /// The format version that introduced this message: it is not sent to a node that reads only older ones.
     pub fn introduced_in(&self) -> FormatVersion {
         match self {
             Message::Update { .. }
@@ -201,50 +206,58 @@
     }
 }
 
+/// Input of [`Registry::step`].
 #[derive(Clone, Debug)]
 pub enum Event {
+    /// Time has passed; see [`Registry::next_due`].
     Tick,
     Received {
         from: NodeAddress,
         message: Message,
     },
+    /// An instance called with a heartbeat, which may say that it drains.
     Heartbeat {
         call: CallId,
         heartbeat: Heartbeat,
     },
+    /// An instance called to say that it ends.
     Detach {
         call: CallId,
         id: InstanceId,
     },
-    /// Nodes that are up now; `hubs` are those that take beats (the own place among them tells this node
-    /// that it is one; so does its first beat).
+    /// The nodes that are up now. This node is a registry node if its own address is among `registry_nodes`;
+    /// its first heartbeat tells it the same.
     Peers {
         registry_nodes: Vec<NodeAddress>,
         gateways: Vec<NodeAddress>,
     },
-    /// At a hub: the foyers that have chosen it to be served by it, whatever the membership holds of them, and those that
-    /// can't choose, as their programs are older. Until this is told, all foyers are taken for such.
+    /// At a registry node: the gateways that have chosen to be served by it, whether or not the membership
+    /// considers them up, and the gateways that can't choose because their programs are older. Before the
+    /// first such event, all gateways are assumed unable to choose.
     Watchers {
         watching: Vec<NodeAddress>,
         unable_to_watch: Vec<NodeAddress>,
     },
-    /// The ordered voters as they are now, in the log here; a hub that was told of none acknowledges no drain.
+    /// The current voters of the replicated log as this node knows them. A registry node that knows no voters
+    /// acknowledges no drain.
     Voters {
         addresses: Vec<NodeAddress>,
     },
-    /// Datagrams to or from this node seem to be lost: it compares with hubs only, and twice as often.
+    /// Datagrams to or from this node seem to get lost: it compares only with registry nodes, and twice as
+    /// often.
     LinkStrained {
         strained: bool,
     },
-    /// A majority of the voters was in touch with this hub at this moment of the own clock.
+    /// A majority of the voters was in contact with this registry node at this time of the local clock.
     MajorityContact {
         at: Micros,
     },
 }
 
+/// Output of [`Registry::step`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// As the board's: what goes to this node for a while should not be left to datagrams.
+    /// For a while, messages to this node should go by stream and not by datagram, as `replication` asks too.
     PreferStream {
         to: NodeAddress,
     },
@@ -252,30 +265,31 @@
         to: NodeAddress,
         message: Message,
     },
-    /// The beat is acknowledged, with a place for later ones.
+    /// The call is acknowledged; later calls should go to `target`.
     Accepted {
         call: CallId,
         target: Option<NodeAddress>,
     },
-    /// Not known to others in time, or out of bounds; the instance is to call elsewhere.
+    /// Too few others learned of it in time, or the call was out of bounds; the instance should ask another
+    /// node.
     Rejected {
         call: CallId,
     },
-    /// InstanceState, service, address, zone, version, slots or warm-up changed. One that is forgotten is shown as
-    /// `Gone` if it was not yet.
+    /// The state, service, address, zone, version, slots or warm-up changed. An instance that is forgotten is
+    /// reported as `Gone` unless it was gone already.
     Changed {
         instance: Instance,
     },
 }
 
-/// Longest span that is believed from the wire; keeps sums of times from overflowing.
-const LONGEST: Micros = 400 * 24 * 3600 * SECOND;
+/// Longest duration accepted from the wire (400 days); keeps sums of times from overflowing.
+const MAX_DURATION: Micros = 400 * 24 * 3600 * SECOND;
 
-/// Longest id, service, zone or version, in bytes; a record with all four at this length fits a message.
-const LONGEST_TEXT: usize = 128;
+/// Longest id, service, zone or version, in bytes; a record with all four at this length fits into a message.
+const MAX_TEXT_BYTES: usize = 128;
 
 impl Instance {
-    /// As it travels, at `now`.
+    /// The record to send at `now`.
     pub fn to_record(&self, now: Micros) -> Record {
         Record {
             id: self.id.clone(),
@@ -293,29 +307,30 @@
         }
     }
 
-    /// Whether a driver that knew `self` has to be told of `next`.
-    fn differs(&self, next: &Instance, now: Micros) -> bool {
+    /// Whether a change from `self` to `next` has to be reported by [`Effect::Changed`].
+    fn differs_visibly(&self, next: &Instance, now: Micros) -> bool {
         self.state != next.state
             || self.address != next.address
             || self.slots != next.slots
             || self.service != next.service
             || self.version != next.version
             || self.zone != next.zone
-            || moved(self.warm_at, next.warm_at, now)
+            || warmup_end_moved(self.warm_at, next.warm_at, now)
     }
 }
 
-/// Whether an end of warm-up moved by more than beats differ by on their ways.
-fn moved(a: Micros, b: Micros, now: Micros) -> bool {
-    (a.max(now) - b.max(now)).abs() > SECOND / 2
+/// Whether the end of a warm-up moved by more than the varying network delay of heartbeats explains.
+fn warmup_end_moved(before: Micros, after: Micros, now: Micros) -> bool {
+    (before.max(now) - after.max(now)).abs() > SECOND / 2
 }
 
 impl Record {
-    /// As moments of the clock here, at `now`. One that is warm has been so for an unknown time: since its first beat
-    /// for what is known, so that its age is never taken for the length of a warm-up.
+    /// Converts durations to times of the local clock; `now` is when the record arrived. Since when a warm
+    /// instance has been warm is unknown: it counts as warm since its first heartbeat, so that its age is
+    /// never taken for the length of a warm-up.
     fn into_instance(self, now: Micros) -> Instance {
-        let first_seen = now - self.age.clamp(0, LONGEST);
-        let warm = self.warmup_left <= 0;
+        let first_seen = now - self.age.clamp(0, MAX_DURATION);
+        let is_warm = self.warmup_left <= 0;
         Instance {
             id: self.id,
             service: self.service,
@@ -326,34 +341,40 @@
             state: self.state,
             sequence: self.sequence,
             first_seen,
-            warm_at: if warm { first_seen } else { now + self.warmup_left.clamp(0, LONGEST) },
-            state_since: now - self.state_age.clamp(0, LONGEST),
+            warm_at: if is_warm { first_seen } else { now + self.warmup_left.clamp(0, MAX_DURATION) },
+            state_since: now - self.state_age.clamp(0, MAX_DURATION),
             owner: self.owner,
         }
     }
 
-    fn fits(&self) -> bool {
-        [&self.id.0, &self.service, &self.zone, &self.version].iter().all(|text| text.len() <= LONGEST_TEXT)
+    /// Whether all texts are within [`MAX_TEXT_BYTES`].
+    fn within_limits(&self) -> bool {
+        [&self.id.0, &self.service, &self.zone, &self.version].iter().all(|text| text.len() <= MAX_TEXT_BYTES)
     }
 
-    /// Its length by postcard, in bytes.
-    fn length(&self) -> usize {
+    /// Length in postcard's encoding.
+    fn encoded_bytes(&self) -> usize {
         let texts = [&self.id.0, &self.service, &self.zone, &self.version];
-        let texts: usize = texts.iter().map(|text| varint(text.len() as u64) + text.len()).sum();
-        let spans = [self.age, self.warmup_left, self.state_age];
-        let spans: usize = spans.iter().map(|span| varint(span.unsigned_abs().saturating_mul(2))).sum();
-        let address = 4 + varint(u64::from(self.address.port()));
-        texts + spans + address + varint(u64::from(self.slots)) + varint(self.sequence) + 1 + 4
+        let texts: usize = texts.iter().map(|text| varint_bytes(text.len() as u64) + text.len()).sum();
+        // Postcard encodes signed numbers as zigzag varints, which doubles their magnitude.
+        let durations = [self.age, self.warmup_left, self.state_age];
+        let durations: usize =
+            durations.iter().map(|duration| varint_bytes(duration.unsigned_abs().saturating_mul(2))).sum();
+        let address = 4 + varint_bytes(u64::from(self.address.port()));
+        let (state, owner) = (1, 4);
+        let numbers = varint_bytes(u64::from(self.slots)) + varint_bytes(self.sequence);
+        texts + durations + address + numbers + state + owner
     }
 }
 
 impl Heartbeat {
-    fn fits(&self) -> bool {
-        [&self.id.0, &self.service, &self.zone, &self.version].iter().all(|text| text.len() <= LONGEST_TEXT)
+    /// Whether all texts are within [`MAX_TEXT_BYTES`].
+    fn within_limits(&self) -> bool {
+        [&self.id.0, &self.service, &self.zone, &self.version].iter().all(|text| text.len() <= MAX_TEXT_BYTES)
     }
 }
 
-/// Bytes that postcard takes for a number.
-fn varint(number: u64) -> usize {
+/// Number of bytes in postcard's variable-length encoding of `number`.
+fn varint_bytes(number: u64) -> usize {
     (64 - number.leading_zeros() as usize).div_ceil(7).max(1)
 }
--- a/crates/registry/src/node.rs
+++ b/crates/registry/src/node.rs
@@ -1,4 +1,5 @@
-//! One node's part: beats and drains taken, news passed on, copies compared, silence judged.
+//! The registry on one node: accepts heartbeats and drains, passes updates on, compares copies with other
+//! nodes and decides which instances are silent.
 
 mod comparison;
 
@@ -8,497 +9,549 @@
 
 use comparison::Comparison;
 
-use crate::drains::{MOST_ROUNDS, Need, Round};
-use crate::instance_table::{Heard, Learnt, List};
+use crate::drains::{AckQuorum, DrainRound, MAX_ROUNDS};
+use crate::instance_table::{Changes, Entry, HeartbeatResult, InstanceTable};
 use crate::{Effect, Event, Heartbeat, Instance, InstanceId, InstanceState, Message, Record, Timing};
 
-/// Up to this many other nodes, news goes to each directly; beyond, each hub tells the foyers that watch it.
-const SMALL: usize = 24;
-/// Changes are gathered for this long, so that many at once travel together.
-const GATHER: Micros = 50 * MS;
+/// With fewer other nodes than this, updates go directly to each; otherwise each registry node informs the
+/// gateways that it serves.
+const SMALL_CLUSTER_NODES: usize = 24;
+/// Updates are collected for this long, so that many at once travel in one message.
+const BATCH_DELAY: Micros = 50 * MS;
 /// The same for drains that are passed on.
-const GATHER_LEAVING: Micros = 15 * MS;
-/// Hubs that tell each foyer which can't choose its own: for news, and for drains, as the one may die.
-const OWNERS: usize = 1;
-const DRAIN_OWNERS: usize = 2;
-/// How many others get a drain from each node that hears of it for the first time.
-const PASSED_TO: usize = 3;
-/// A drain that is found by comparing copies is passed on while it is younger.
-const FRESH: Micros = 3 * SECOND;
-/// Between two comparisons by chance up to so many thousandths of `Timing::compare_interval` more.
-const COMPARE_SPREAD: u32 = 667;
-/// One that starts with nothing asks this often, so many times.
-const FIRST_ASK: Micros = 250 * MS;
-const FIRST_ASKS: u32 = 12;
-/// How often a hub looks for silent instances.
-const SWEEP: Micros = 250 * MS;
-/// A step that comes this late means that the process stood still: it can't judge who was silent meanwhile.
-const STALL: Micros = 2 * SECOND;
-/// After standing still for longer than instances may be silent, beats may have lain in buffers: not taken.
-const THAW: Micros = 250 * MS;
-/// What was remembered and has not beaten so long after the start is silent: before any machine counts as in
-/// touch again, and long enough for a beat, even a late one, to come.
-const REMEMBERED: Micros = 2_500 * MS;
-/// Which is told so many times more, so far apart, as words may be lost.
-const TOLD_AGAIN: u32 = 2;
-const TOLD_AGAIN_EVERY: Micros = 150 * MS;
-/// An instance is sent to another hub at most this often.
-const MOVES: Micros = 30 * SECOND;
-/// Records in a message, in bytes.
-const PIECE: usize = 930;
-/// Which instances there are, as one node knows it.
+const DRAIN_BATCH_DELAY: Micros = 15 * MS;
+/// Registry nodes that send updates to each gateway that can't choose its own.
+const UPDATE_SENDERS: usize = 1;
+/// The same for drains: two, as one of them may die.
+const DRAIN_SENDERS: usize = 2;
+/// Number of random nodes to which each node forwards a drain that is new to it.
+const DRAIN_GOSSIP_FANOUT: usize = 3;
+/// A drain that is learned from a comparison of copies is forwarded while it is younger than this.
+const DRAIN_GOSSIP_MAX_AGE: Micros = 3 * SECOND;
+/// Random jitter of the time between two comparisons, in thousandths of `Timing::compare_interval`.
+const COMPARE_JITTER_THOUSANDTHS: u32 = 667;
+/// How often a node that starts empty asks for all records.
+const INITIAL_REQUEST_INTERVAL: Micros = 250 * MS;
+/// How many times it asks.
+const INITIAL_REQUESTS: u32 = 12;
+/// How often a registry node looks for silent instances.
+const SWEEP_INTERVAL: Micros = 250 * MS;
+/// A step that comes this long after the previous one means that the process was paused: it can't tell who
+/// was silent meanwhile.
+const STALL_THRESHOLD: Micros = 2 * SECOND;
+/// After a pause longer than the silence timeout, heartbeats are refused for this long, as they may have
+/// waited in buffers.
+const REFUSE_AFTER_STALL: Micros = 250 * MS;
+/// A restored instance without a heartbeat for this long after the start is silent. This is before any node
+/// counts as reachable again, and long enough for a heartbeat, even a late one, to arrive.
+const RESTORED_TIMEOUT: Micros = 2_500 * MS;
+/// How many times the update about such instances is repeated, as messages may get lost.
+const SILENT_RESTORED_REPEATS: u32 = 2;
+const SILENT_RESTORED_REPEAT_INTERVAL: Micros = 150 * MS;
+/// Shortest time between two redirections of one instance to another registry node.
+const REBALANCE_INTERVAL: Micros = 30 * SECOND;
+/// Most bytes of records in one message.
+const MAX_RECORD_BYTES: usize = 930;
+/// When a new registry node appears, the comparison with it is delayed by a random time below this.
+const NEW_NODE_COMPARE_JITTER_MS: u32 = 300;
+/// When an owner is away, the registry nodes wait this much longer, one after the other, before they judge
+/// its instances.
+const ABSENT_OWNER_STAGGER: Micros = 100 * MS;
+
+/// The instances as one node knows them.
 #[derive(Debug)]
 pub struct Registry {
-    own: NodeAddress,
+    own_address: NodeAddress,
     timing: Timing,
     rng: Rand32,
-    list: List,
-    /// Other nodes that are up, in order.
-    hubs: Vec<NodeAddress>,
-    others: Vec<NodeAddress>,
-    /// Foyers that watch this hub, in order; and those that watch none, once that is known.
-    watched_by: Vec<NodeAddress>,
-    unwatching: Option<Vec<NodeAddress>>,
-    /// Whether this node takes beats.
-    hub: bool,
-    /// The ordered voters, in order; a majority of them has to know of a drain.
+    table: InstanceTable,
+    /// Other registry nodes that are up, sorted.
+    registry_nodes: Vec<NodeAddress>,
+    /// Gateways that are up, sorted.
+    gateways: Vec<NodeAddress>,
+    /// Gateways that have chosen this registry node, sorted.
+    watching: Vec<NodeAddress>,
+    /// Gateways that can't choose a registry node, once known.
+    unable_to_watch: Option<Vec<NodeAddress>>,
+    /// Whether this node accepts heartbeats.
+    is_registry_node: bool,
+    /// The voters of the replicated log, sorted; a majority of them has to know of a drain.
     voters: Vec<NodeAddress>,
-    /// When a majority of the voters was last known to be in touch with this hub; its start before the first time.
-    proved: Micros,
-    /// Since when the membership here holds up no majority of the voters: one that hears others and is not heard by
-    /// them has young proofs, and learns it by this only.
-    few_since: Option<Micros>,
+    /// When a majority of the voters was last known to be in contact with this node; initially the start
+    /// time.
+    last_majority_contact: Micros,
+    /// Since when the membership on this node has had no majority of the voters up. A node that hears the
+    /// others but is not heard by them sees recent contacts and learns of its isolation only this way.
+    majority_down_since: Option<Micros>,
     last_step: Micros,
-    /// Silence before this moment is not judged.
-    watch_from: Micros,
-    /// Beats before this moment are not taken.
-    mute_until: Micros,
-    /// Keepers that are not up, and since when.
-    absent: IndexMap<NodeAddress, Micros>,
-    rounds: Vec<Round>,
-    next_round: u64,
-    /// To be told to all; to the own share of the foyers, with whether they leave; to a few.
-    wide: Vec<InstanceId>,
-    share: Vec<(InstanceId, bool)>,
-    few: Vec<InstanceId>,
-    flush_at: Micros,
-    sweep_at: Micros,
-    compare_at: Micros,
-    /// At a foyer.
+    /// Silence before this time does not count.
+    silence_counts_from: Micros,
+    /// Heartbeats before this time are refused.
+    refuse_heartbeats_until: Micros,
+    /// Owners that are not up, and since when.
+    absent_owners: IndexMap<NodeAddress, Micros>,
+    drain_rounds: Vec<DrainRound>,
+    last_round_number: u64,
+    /// Instances about which all nodes are to be informed.
+    updates_for_all: Vec<InstanceId>,
+    /// Instances about which the served gateways are to be informed, with whether they are draining or gone.
+    updates_to_relay: Vec<(InstanceId, bool)>,
+    /// Drains to forward to a few random nodes.
+    drains_to_gossip: Vec<InstanceId>,
+    next_flush: Micros,
+    next_sweep: Micros,
+    next_compare: Micros,
+    /// At a gateway: the comparison that a registry node has yet to answer.
     comparison: Option<Comparison>,
-    /// How often one that starts with nothing will still call for everything.
-    first_asks: u32,
-    /// Another hub that is to get the next instance, for balance.
-    shed_to: Option<NodeAddress>,
-    /// When what was remembered and has not been heard of is silent; those to be told of again, and how often.
-    remembered_until: Micros,
-    stale: Vec<InstanceId>,
-    stale_tellings: u32,
-    /// Datagrams to or from this node seem to be lost.
-    strained: bool,
+    /// How many more times a node that started empty asks for all records.
+    initial_requests_left: u32,
+    /// Registry node to which the next instance is redirected to balance the load.
+    rebalance_target: Option<NodeAddress>,
+    /// When restored instances without a new heartbeat become silent, or when the update about them is
+    /// repeated.
+    restored_due: Micros,
+    /// Restored instances that became silent and how many more times the update about them is repeated.
+    silent_restored: Vec<InstanceId>,
+    silent_restored_repeats_left: u32,
+    /// Datagrams to or from this node seem to get lost.
+    link_strained: bool,
 }
 
 impl Registry {
-    /// A node that knows nothing yet.
-    pub fn new(own: NodeAddress, timing: Timing, seed: u64, now: Micros) -> Registry {
+    /// A registry without any instance.
+    pub fn new(own_address: NodeAddress, timing: Timing, seed: u64, now: Micros) -> Registry {
         let mut rng = Rand32::new(seed);
-        // Answers to the rounds of an earlier life must not count for this one's.
-        let next_round = u64::from(rng.rand_u32()) << 24;
+        // Random, so that acknowledgements for rounds of an earlier run don't count for rounds of this one.
+        let last_round_number = u64::from(rng.rand_u32()) << 24;
         Registry {
-            own,
+            own_address,
             timing,
             rng,
-            list: List::default(),
-            hubs: Vec::new(),
-            others: Vec::new(),
-            watched_by: Vec::new(),
-            unwatching: None,
-            hub: false,
+            table: InstanceTable::default(),
+            registry_nodes: Vec::new(),
+            gateways: Vec::new(),
+            watching: Vec::new(),
+            unable_to_watch: None,
+            is_registry_node: false,
             voters: Vec::new(),
-            proved: now,
-            few_since: None,
+            last_majority_contact: now,
+            majority_down_since: None,
             last_step: now,
-            watch_from: now,
-            mute_until: now,
-            absent: IndexMap::new(),
-            rounds: Vec::new(),
-            next_round,
-            wide: Vec::new(),
-            share: Vec::new(),
-            few: Vec::new(),
-            flush_at: Micros::MAX,
-            sweep_at: now + SWEEP,
-            compare_at: now,
+            silence_counts_from: now,
+            refuse_heartbeats_until: now,
+            absent_owners: IndexMap::new(),
+            drain_rounds: Vec::new(),
+            last_round_number,
+            updates_for_all: Vec::new(),
+            updates_to_relay: Vec::new(),
+            drains_to_gossip: Vec::new(),
+            next_flush: Micros::MAX,
+            next_sweep: now + SWEEP_INTERVAL,
+            next_compare: now,
             comparison: None,
-            first_asks: FIRST_ASKS,
-            shed_to: None,
-            remembered_until: Micros::MAX,
-            stale: Vec::new(),
-            stale_tellings: 0,
-            strained: false,
+            initial_requests_left: INITIAL_REQUESTS,
+            rebalance_target: None,
+            restored_due: Micros::MAX,
+            silent_restored: Vec::new(),
+            silent_restored_repeats_left: 0,
+            link_strained: false,
         }
     }
 
-    /// What a hub knew before its start, from its disk; to be called right after `start`. It is used at once, as
-    /// most of it still holds where all hubs were away for a moment, and what others know anew wins over it.
-    /// Guards against a second without any instance after a start of all.
+    /// Loads the records that a registry node had saved to disk before its start; to be called right after
+    /// `new`. They are used at once, as most still hold when all registry nodes were away for a moment, and
+    /// newer records of other nodes take precedence. Without them, a restart of all nodes would leave about a
+    /// second without any instance.
     pub fn restore(&mut self, now: Micros, records: Vec<Record>) -> Vec<Effect> {
-        let mut learnt = Learnt::default();
+        let mut changes = Changes::default();
         for record in records {
-            self.list.remember(now, self.own, record, &mut learnt);
+            self.table.restore(now, self.own_address, record, &mut changes);
         }
-        self.remembered_until = now + REMEMBERED;
-        learnt.shown.into_iter().map(|instance| Effect::Changed { instance }).collect()
+        self.restored_due = now + RESTORED_TIMEOUT;
+        changes.visible.into_iter().map(|instance| Effect::Changed { instance }).collect()
     }
 
-    /// What to remember, as of `now`.
+    /// The records to save for [`Registry::restore`], as of `now`.
     pub fn snapshot(&self, now: Micros) -> Vec<Record> {
-        self.list.all(now)
+        self.table.comparable_records(now)
     }
 
-    /// Rises whenever `memory` has become another by more than the time that goes by.
+    /// Grows whenever [`Registry::snapshot`] changes by more than the passage of time.
     pub fn revision(&self) -> u64 {
-        self.list.changes()
+        self.table.revision()
     }
 
-    /// Spreads what it knows as fast as a deployment with this `DrainS` wants.
-    pub fn set_drain_limit(&mut self, drain: Micros) {
-        self.timing = self.timing.for_drain_limit(drain);
+    /// Adapts the speed at which updates spread to a deployment with the setting `DrainS` of `drain_limit`.
+    pub fn set_drain_limit(&mut self, drain_limit: Micros) {
+        self.timing = self.timing.for_drain_limit(drain_limit);
     }
 
-    /// What others may not know yet: leaving lives that were not heard of by all in reach, changes not told.
+    /// Number of changes that other nodes may not know yet: drains that some reachable nodes have not
+    /// acknowledged, and updates that have not been sent.
     pub fn pending_updates(&self) -> usize {
-        self.rounds.len() + self.wide.len() + self.share.len() + self.few.len()
+        self.drain_rounds.len()
+            + self.updates_for_all.len()
+            + self.updates_to_relay.len()
+            + self.drains_to_gossip.len()
     }
 
-    /// Takes one event at `now` of the own steady clock, and does what is due.
+    /// Handles an event at `now` of the local steady clock and does what is due.
     pub fn step(&mut self, now: Micros, event: Event) -> Vec<Effect> {
         let mut out = Vec::new();
-        self.notice_stall(now);
+        self.detect_stall(now);
         match event {
             Event::Tick => {}
-            Event::Received { from, message } => self.received(now, from, message, &mut out),
-            Event::Heartbeat { call, heartbeat: beat } => self.beat(now, call, beat, &mut out),
-            Event::Detach { call, id } => self.detach(now, call, id, &mut out),
-            Event::Peers { registry_nodes: hubs, gateways: others } => self.peers(now, hubs, others),
-            Event::Watchers { watching: by, unable_to_watch: unwatching } => self.watched(by, unwatching),
-            Event::Voters { addresses: places } => self.voters(now, places),
-            Event::LinkStrained { strained } => self.strained(now, strained),
-            Event::MajorityContact { at } => self.proved = self.proved.max(at),
-        }
-        self.work(now, &mut out);
+            Event::Received { from, message } => self.message_received(now, from, message, &mut out),
+            Event::Heartbeat { call, heartbeat } => self.heartbeat_received(now, call, heartbeat, &mut out),
+            Event::Detach { call, id } => self.detach_received(now, call, id, &mut out),
+            Event::Peers { registry_nodes, gateways } => self.peers_changed(now, registry_nodes, gateways),
+            Event::Watchers { watching, unable_to_watch } => self.watchers_changed(watching, unable_to_watch),
+            Event::Voters { addresses } => self.voters_changed(now, addresses),
+            Event::LinkStrained { strained } => self.link_strain_changed(now, strained),
+            Event::MajorityContact { at } => self.last_majority_contact = self.last_majority_contact.max(at),
+        }
+        self.run_due_tasks(now, &mut out);
         out
     }
 
-    /// When `Event::Tick` is wanted next, at the latest.
+    /// When `Event::Tick` is needed next, at the latest.
     pub fn next_due(&self) -> Micros {
-        let rounds = self.rounds.iter().map(Round::due).min().unwrap_or(Micros::MAX);
-        let comparison = self.comparison.as_ref().map_or(Micros::MAX, |comparison| comparison.until);
-        let due = self.sweep_at.min(self.remembered_until).min(self.compare_at).min(self.flush_at);
-        due.min(rounds).min(comparison)
+        let rounds = self.drain_rounds.iter().map(DrainRound::next_due).min().unwrap_or(Micros::MAX);
+        let comparison = self.comparison.as_ref().map_or(Micros::MAX, |comparison| comparison.deadline);
+        let tasks = self.next_sweep.min(self.restored_due).min(self.next_compare).min(self.next_flush);
+        tasks.min(rounds).min(comparison)
     }
 
-    /// All that are known, those that are gone for a while too.
+    /// All known instances, including those that were gone a short time ago.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
-        self.list.entries().map(|entry| &entry.known)
+        self.table.entries().map(|entry| &entry.known)
     }
 
     pub fn get(&self, id: &InstanceId) -> Option<&Instance> {
-        self.list.get(id).map(|entry| &entry.known)
+        self.table.get(id).map(|entry| &entry.known)
     }
 
-    /// Whether this node has got the list from another one, or has asked long enough.
+    /// Whether this node has received the records of another node, or has given up asking for them.
     pub fn initial_sync_done(&self) -> bool {
-        self.first_asks == 0
+        self.initial_requests_left == 0
     }
 
-    /// A process that stood still (frozen, starved) has heard nothing meanwhile: it judges nobody by that.
-    fn notice_stall(&mut self, now: Micros) {
-        let stood = now - self.last_step;
+    /// A process that was paused (frozen, starved of CPU) has received nothing meanwhile, so that silence
+    /// during the pause does not count.
+    fn detect_stall(&mut self, now: Micros) {
+        let pause = now - self.last_step;
         self.last_step = now.max(self.last_step);
-        if stood < STALL.min(self.timing.silence_timeout) {
+        if pause < STALL_THRESHOLD.min(self.timing.silence_timeout) {
             return;
         }
-        self.watch_from = now;
-        self.absent.values_mut().for_each(|since| *since = now);
-        self.compare_at = now;
-        if stood >= self.timing.silence_timeout {
-            self.mute_until = now + THAW;
+        self.silence_counts_from = now;
+        self.absent_owners.values_mut().for_each(|since| *since = now);
+        self.next_compare = now;
+        if pause >= self.timing.silence_timeout {
+            self.refuse_heartbeats_until = now + REFUSE_AFTER_STALL;
         }
     }
 
-    fn peers(&mut self, now: Micros, hubs: Vec<NodeAddress>, others: Vec<NodeAddress>) {
-        self.hub |= hubs.contains(&self.own);
-        let sorted = |places: Vec<NodeAddress>, not: &[NodeAddress]| {
-            let mut places = places;
-            places.retain(|place| *place != self.own && !not.contains(place));
-            places.sort_unstable();
-            places.dedup();
-            places
+    fn peers_changed(&mut self, now: Micros, registry_nodes: Vec<NodeAddress>, gateways: Vec<NodeAddress>) {
+        self.is_registry_node |= registry_nodes.contains(&self.own_address);
+        let sorted = |addresses: Vec<NodeAddress>, excluded: &[NodeAddress]| {
+            let mut addresses = addresses;
+            addresses.retain(|address| *address != self.own_address && !excluded.contains(address));
+            addresses.sort_unstable();
+            addresses.dedup();
+            addresses
         };
-        let hubs = sorted(hubs, &[]);
-        let others = sorted(others, &hubs);
-        for gone in self.hubs.iter().filter(|place| !hubs.contains(place)) {
-            self.absent.insert(*gone, now);
-        }
-        self.absent.retain(|place, _| !hubs.contains(place));
-        if hubs.iter().any(|place| !self.hubs.contains(place)) {
-            // A hub that was not there: after a start or a cut there is most to compare.
-            let soon = if self.hubs.is_empty() { 0 } else { self.chance(300) * MS };
-            self.compare_at = self.compare_at.min(now + soon);
+        let registry_nodes = sorted(registry_nodes, &[]);
+        let gateways = sorted(gateways, &registry_nodes);
+        for lost in self.registry_nodes.iter().filter(|node| !registry_nodes.contains(node)) {
+            self.absent_owners.insert(*lost, now);
+        }
+        self.absent_owners.retain(|node, _| !registry_nodes.contains(node));
+        if registry_nodes.iter().any(|node| !self.registry_nodes.contains(node)) {
+            // A registry node has appeared: after a start or a network partition, copies differ the most.
+            let delay = if self.registry_nodes.is_empty() {
+                0
+            } else {
+                self.random_below(NEW_NODE_COMPARE_JITTER_MS) * MS
+            };
+            self.next_compare = self.next_compare.min(now + delay);
         }
-        (self.hubs, self.others) = (hubs, others);
-        self.count_voters(now);
-        self.keep_rounds();
+        (self.registry_nodes, self.gateways) = (registry_nodes, gateways);
+        self.update_majority(now);
+        self.drop_unreachable_gateways();
     }
 
-    fn watched(&mut self, mut by: Vec<NodeAddress>, mut unwatching: Vec<NodeAddress>) {
-        by.sort_unstable();
-        unwatching.sort_unstable();
-        (self.watched_by, self.unwatching) = (by, Some(unwatching));
-        self.keep_rounds();
+    fn watchers_changed(&mut self, mut watching: Vec<NodeAddress>, mut unable_to_watch: Vec<NodeAddress>) {
+        watching.sort_unstable();
+        unable_to_watch.sort_unstable();
+        (self.watching, self.unable_to_watch) = (watching, Some(unable_to_watch));
+        self.drop_unreachable_gateways();
     }
 
-    /// Foyers that are neither up nor served from here are not told of drains any more.
-    fn keep_rounds(&mut self) {
-        let (others, watched_by) = (&self.others, &self.watched_by);
-        let told = |place: NodeAddress| others.contains(&place) || watched_by.contains(&place);
-        self.rounds.iter_mut().for_each(|round| round.keep_foyers(told));
+    /// Stops notices of drains to gateways that are neither up nor served by this node.
+    fn drop_unreachable_gateways(&mut self) {
+        let (gateways, watching) = (&self.gateways, &self.watching);
+        let is_reachable = |node: NodeAddress| gateways.contains(&node) || watching.contains(&node);
+        self.drain_rounds.iter_mut().for_each(|round| round.retain_gateways(is_reachable));
     }
 
-    fn strained(&mut self, now: Micros, strained: bool) {
-        if strained && !self.strained {
-            self.compare_at = now;
+    fn link_strain_changed(&mut self, now: Micros, strained: bool) {
+        if strained && !self.link_strained {
+            self.next_compare = now;
         }
-        self.strained = strained;
+        self.link_strained = strained;
     }
 
-    fn voters(&mut self, now: Micros, places: Vec<NodeAddress>) {
-        self.voters = places;
+    fn voters_changed(&mut self, now: Micros, addresses: Vec<NodeAddress>) {
+        self.voters = addresses;
         self.voters.sort_unstable();
         self.voters.dedup();
-        self.count_voters(now);
+        self.update_majority(now);
     }
 
-    fn count_voters(&mut self, now: Micros) {
-        let up = |place: &&NodeAddress| **place == self.own || self.hubs.contains(place);
-        let few = 2 * self.voters.iter().filter(up).count() <= self.voters.len();
-        self.few_since = few.then_some(self.few_since.unwrap_or(now));
+    fn update_majority(&mut self, now: Micros) {
+        let is_up = |voter: &&NodeAddress| **voter == self.own_address || self.registry_nodes.contains(voter);
+        let majority_down = 2 * self.voters.iter().filter(is_up).count() <= self.voters.len();
+        self.majority_down_since = majority_down.then_some(self.majority_down_since.unwrap_or(now));
     }
 
-    /// Other hubs that are told of a drain: those that are up, and the voters, whom a node that has just started knows
-    /// from its disk before it has met them.
-    fn told(&self) -> Vec<NodeAddress> {
-        let unmet = self.voters.iter().filter(|place| **place != self.own && !self.hubs.contains(place));
-        self.hubs.iter().chain(unmet).copied().collect()
+    /// Other registry nodes that are notified of drains: those that are up, and the voters, which a node that
+    /// has just started knows from its disk before the membership has found them.
+    fn drain_notice_recipients(&self) -> Vec<NodeAddress> {
+        let not_yet_found = (self.voters.iter())
+            .filter(|voter| **voter != self.own_address && !self.registry_nodes.contains(voter));
+        self.registry_nodes.iter().chain(not_yet_found).copied().collect()
     }
 
-    /// Whether a majority has not been in touch for so long that beats are to go elsewhere.
-    fn cut_off(&self, now: Micros) -> bool {
-        now - self.proved.min(self.few_since.unwrap_or(now)) > self.timing.contact_timeout
+    /// Whether there has been no contact with a majority for so long that instances have to use another node.
+    fn is_isolated(&self, now: Micros) -> bool {
+        let last_contact = self.last_majority_contact.min(self.majority_down_since.unwrap_or(now));
+        now - last_contact > self.timing.contact_timeout
     }
 
-    fn beat(&mut self, now: Micros, call: CallId, beat: Heartbeat, out: &mut Vec<Effect>) {
-        self.hub = true;
-        let mut learnt = Learnt::default();
-        if now < self.mute_until
-            || !beat.fits()
-            || self.list.hear(now, self.own, &beat, &mut learnt) == Heard::Full
+    fn heartbeat_received(&mut self, now: Micros, call: CallId, heartbeat: Heartbeat, out: &mut Vec<Effect>) {
+        self.is_registry_node = true;
+        let mut changes = Changes::default();
+        if now < self.refuse_heartbeats_until
+            || !heartbeat.within_limits()
+            || self.table.heartbeat_received(now, self.own_address, &heartbeat, &mut changes)
+                == HeartbeatResult::Full
         {
             return out.push(Effect::Rejected { call });
         }
-        if beat.draining {
-            self.spread(now, learnt, Some(&beat.id), out);
-            return self.leaves(now, call, beat.id, out);
+        if heartbeat.draining {
+            self.queue_for_all(now, changes, Some(&heartbeat.id), out);
+            return self.answer_when_known(now, call, heartbeat.id, out);
         }
-        self.spread(now, learnt, None, out);
-        if self.cut_off(now) {
-            // It was heard, and so is not silent here: where nobody has a majority, the list stays as it is. But
-            // others may not hear of it, so it is sent on to look for a hub that they do hear.
+        self.queue_for_all(now, changes, None, out);
+        if self.is_isolated(now) {
+            // The heartbeat was recorded, so the instance is not silent here: where no node has a majority,
+            // all instances stay known. But others may not learn of it, so the instance is told to look for a
+            // node that they do hear.
             return out.push(Effect::Rejected { call });
         }
-        let mut target = self.own;
-        if let (Some(other), Some(entry)) = (self.shed_to, self.list.get_mut(&beat.id))
+        let mut target = self.own_address;
+        if let (Some(other), Some(entry)) = (self.rebalance_target, self.table.get_mut(&heartbeat.id))
             && entry.known.state == InstanceState::InService
-            && entry.moved.is_none_or(|moved| now - moved >= MOVES)
+            && entry.last_rebalanced.is_none_or(|last| now - last >= REBALANCE_INTERVAL)
         {
-            entry.moved = Some(now);
-            self.shed_to = None;
+            entry.last_rebalanced = Some(now);
+            self.rebalance_target = None;
             target = other;
         }
         out.push(Effect::Accepted { call, target: Some(target) });
     }
 
-    fn detach(&mut self, now: Micros, call: CallId, id: InstanceId, out: &mut Vec<Effect>) {
-        self.hub = true;
-        let mut learnt = Learnt::default();
-        if id.0.len() > crate::LONGEST_TEXT || !self.list.detach(now, self.own, &id, &mut learnt) {
+    fn detach_received(&mut self, now: Micros, call: CallId, id: InstanceId, out: &mut Vec<Effect>) {
+        self.is_registry_node = true;
+        let mut changes = Changes::default();
+        if id.0.len() > crate::MAX_TEXT_BYTES || !self.table.detach(now, self.own_address, &id, &mut changes)
+        {
             return out.push(Effect::Rejected { call });
         }
-        // Where it is confirmed that others know it to be draining, they get this as ordinary news.
-        let confirmed = self.list.get(&id).is_some_and(|entry| entry.confirmed);
-        self.spread(now, learnt, Some(&id).filter(|_| !confirmed), out);
-        self.leaves(now, call, id, out);
+        // Once it is confirmed that others know of the drain, they get the end as an ordinary update.
+        let confirmed = self.table.get(&id).is_some_and(|entry| entry.drain_confirmed);
+        self.queue_for_all(now, changes, Some(&id).filter(|_| !confirmed), out);
+        self.answer_when_known(now, call, id, out);
     }
 
-    /// Acknowledges that a life leaves, at once where enough others are known to know, else after a round.
-    fn leaves(&mut self, now: Micros, call: CallId, id: InstanceId, out: &mut Vec<Effect>) {
-        if self.list.get(&id).is_none_or(|entry| entry.confirmed) {
-            return out.push(Effect::Accepted { call, target: Some(self.own) });
+    /// Acknowledges that an instance is draining or gone: at once if enough other nodes are known to know,
+    /// otherwise after a round of notices.
+    fn answer_when_known(&mut self, now: Micros, call: CallId, id: InstanceId, out: &mut Vec<Effect>) {
+        if self.table.get(&id).is_none_or(|entry| entry.drain_confirmed) {
+            return out.push(Effect::Accepted { call, target: Some(self.own_address) });
         }
-        let round = self.round(now, &id);
-        let known = !self.voters.is_empty();
-        let until = now + self.timing.drain_ack_timeout;
-        // What was heard is told on in any case.
-        if !known || !round.is_some_and(|round| self.rounds[round].join(call, until)) {
+        let round = self.start_drain_round(now, &id);
+        let voters_known = !self.voters.is_empty();
+        let deadline = now + self.timing.drain_ack_timeout;
+        // The round goes on even if the call is rejected.
+        if !voters_known || !round.is_some_and(|round| self.drain_rounds[round].add_call(call, deadline)) {
             out.push(Effect::Rejected { call });
         }
     }
 
-    /// The round for a life that leaves, begun where there is none. `None` where there are too many.
-    fn round(&mut self, now: Micros, id: &InstanceId) -> Option<usize> {
-        let index = match self.rounds.iter().position(|round| round.id == *id) {
+    /// Starts a round of notices for an instance, or restarts the existing one. Returns its index in
+    /// `drain_rounds`, or `None` if there are too many.
+    fn start_drain_round(&mut self, now: Micros, id: &InstanceId) -> Option<usize> {
+        let index = match self.drain_rounds.iter().position(|round| round.id == *id) {
             Some(index) => {
-                self.rounds[index].again(now);
+                self.drain_rounds[index].restart(now);
                 index
             }
-            None if self.rounds.len() >= MOST_ROUNDS => return None,
+            None if self.drain_rounds.len() >= MAX_ROUNDS => return None,
             None => {
-                self.next_round += 1;
-                let all = self.small();
-                let foyers = if all { self.all_foyers() } else { self.served(DRAIN_OWNERS) };
-                self.rounds.push(Round::new(self.next_round, id.clone(), now, foyers, all));
-                self.rounds.len() - 1
+                self.last_round_number += 1;
+                let to_all = self.is_small_cluster();
+                let gateways = if to_all { self.all_gateways() } else { self.served_gateways(DRAIN_SENDERS) };
+                self.drain_rounds.push(DrainRound::new(
+                    self.last_round_number,
+                    id.clone(),
+                    now,
+                    gateways,
+                    to_all,
+                ));
+                self.drain_rounds.len() - 1
             }
         };
         Some(index)
     }
 
-    fn received(&mut self, now: Micros, from: NodeAddress, message: Message, out: &mut Vec<Effect>) {
+    fn message_received(&mut self, now: Micros, from: NodeAddress, message: Message, out: &mut Vec<Effect>) {
         match message {
-            Message::Update { relay, records } => self.news(now, relay, records, out),
-            Message::DrainNotice { round, record } => self.told_leaving(now, from, round, record, out),
+            Message::Update { relay, records } => {
+                let changes = self.merge_all(now, records);
+                self.forward(now, changes, relay, out);
+            }
+            Message::DrainNotice { round, record } => {
+                self.drain_notice_received(now, from, round, record, out)
+            }
             Message::DrainAck { round } => {
-                let told = self.told();
-                if let Some(round) = self.rounds.iter_mut().find(|known| known.number == round) {
-                    round.heard(from, &told);
+                let recipients = self.drain_notice_recipients();
+                if let Some(round) = self.drain_rounds.iter_mut().find(|known| known.number == round) {
+                    round.acknowledged(from, &recipients);
                 }
             }
-            Message::Digest { sums, empty } => self.digest(now, from, &sums, empty, out),
+            Message::Digest { sums, empty } => self.digest_received(now, from, &sums, empty, out),
             Message::NothingKnown => {}
             Message::Versions { complete_ranges, versions } => {
-                self.keys(now, from, complete_ranges, &versions, out)
+                self.versions_received(now, from, complete_ranges, &versions, out)
+            }
+            Message::Request { id_hashes } => {
+                send_records(from, self.table.records_by_hash(now, &id_hashes), out)
             }
-            Message::Request { id_hashes } => give(from, self.list.wanted(now, &id_hashes), out),
             Message::Records { records } => {
-                self.first_asks = 0;
-                let mut learnt = Learnt::default();
-                for record in records {
-                    self.list.merge(now, self.own, record, &mut learnt);
-                }
-                self.pass_on(now, learnt, false, out);
-                self.given(now, from);
+                self.initial_requests_left = 0;
+                let changes = self.merge_all(now, records);
+                self.forward(now, changes, false, out);
+                self.records_received(now, from);
             }
         }
     }
 
-    fn news(&mut self, now: Micros, relay: bool, records: Vec<Record>, out: &mut Vec<Effect>) {
-        let mut learnt = Learnt::default();
+    fn merge_all(&mut self, now: Micros, records: Vec<Record>) -> Changes {
+        let mut changes = Changes::default();
         for record in records {
-            self.list.merge(now, self.own, record, &mut learnt);
+            self.table.merge(now, self.own_address, record, &mut changes);
         }
-        self.pass_on(now, learnt, relay, out);
+        changes
     }
 
-    /// Answered only if it is known here as leaving: a record that was not taken over must not count.
-    fn told_leaving(
+    /// Acknowledges a notice only if the instance is stored here as draining or gone: a record that was not
+    /// accepted must not count.
+    fn drain_notice_received(
         &mut self, now: Micros, from: NodeAddress, round: u64, record: Record, out: &mut Vec<Effect>,
     ) {
         let id = record.id.clone();
-        let mut learnt = Learnt::default();
-        self.list.merge(now, self.own, record, &mut learnt);
-        self.pass_on(now, learnt, true, out);
-        if self.list.get(&id).is_some_and(|entry| entry.known.state.is_leaving()) {
+        let mut changes = Changes::default();
+        self.table.merge(now, self.own_address, record, &mut changes);
+        self.forward(now, changes, true, out);
+        if self.table.get(&id).is_some_and(|entry| entry.known.state.is_leaving()) {
             out.push(Effect::Send { to: from, message: Message::DrainAck { round } });
         }
     }
 
-    /// What came from another node: drains go on to a few from everywhere; hubs relay what they are asked to, and drains
-    /// whichever way they came, to those that they serve. Guards against some that are told by nobody, where their hub heard of the
-    /// drain from one of the few first and learnt nothing more from the hub that began it.
-    fn pass_on(&mut self, now: Micros, learnt: Learnt, relay: bool, out: &mut Vec<Effect>) {
-        let relays = self.hub && !self.small();
-        for (id, leaves) in learnt.news {
-            let young = |entry: &crate::instance_table::Entry| now - entry.known.state_since < FRESH;
-            let leaves = leaves && self.list.get(&id).is_some_and(young);
-            if leaves {
-                self.few.push(id.clone());
-                self.flush_at = self.flush_at.min(now + GATHER_LEAVING);
+    /// Queues what was learned from another node. Every node forwards recent drains to a few random nodes. A
+    /// registry node of a large cluster also relays to the gateways that it serves: everything if `relay` is
+    /// set, and drains whichever way they came. Otherwise, gateways would miss a drain whose registry node
+    /// first got it by gossip, as the later message of the node that started it contains nothing new.
+    fn forward(&mut self, now: Micros, changes: Changes, relay: bool, out: &mut Vec<Effect>) {
+        let relays = self.is_registry_node && !self.is_small_cluster();
+        for (id, is_leaving) in changes.updates {
+            let is_recent = |entry: &Entry| now - entry.known.state_since < DRAIN_GOSSIP_MAX_AGE;
+            let is_leaving = is_leaving && self.table.get(&id).is_some_and(is_recent);
+            if is_leaving {
+                self.drains_to_gossip.push(id.clone());
+                self.next_flush = self.next_flush.min(now + DRAIN_BATCH_DELAY);
             }
-            if relays && (relay || leaves) {
-                self.share.push((id, leaves));
-                self.flush_at = self.flush_at.min(now + if leaves { GATHER_LEAVING } else { GATHER });
+            if relays && (relay || is_leaving) {
+                self.updates_to_relay.push((id, is_leaving));
+                let delay = if is_leaving { DRAIN_BATCH_DELAY } else { BATCH_DELAY };
+                self.next_flush = self.next_flush.min(now + delay);
             }
         }
-        if !learnt.again.is_empty() {
-            self.wide.extend(learnt.again);
-            self.flush_at = self.flush_at.min(now + GATHER);
+        if !changes.corrections.is_empty() {
+            self.updates_for_all.extend(changes.corrections);
+            self.next_flush = self.next_flush.min(now + BATCH_DELAY);
         }
-        out.extend(learnt.shown.into_iter().map(|instance| Effect::Changed { instance }));
+        out.extend(changes.visible.into_iter().map(|instance| Effect::Changed { instance }));
     }
 
-    /// What began here: told to all, save the one that gets a round of its own.
-    fn spread(&mut self, now: Micros, learnt: Learnt, round: Option<&InstanceId>, out: &mut Vec<Effect>) {
-        for (id, _) in learnt.news {
-            if Some(&id) != round {
-                self.wide.push(id);
-                self.flush_at = self.flush_at.min(now + GATHER);
+    /// Queues changes that were made by this node for all nodes, except for `notified_by_round`, which gets a
+    /// round of notices of its own.
+    fn queue_for_all(
+        &mut self, now: Micros, changes: Changes, notified_by_round: Option<&InstanceId>,
+        out: &mut Vec<Effect>,
+    ) {
+        for (id, _) in changes.updates {
+            if Some(&id) != notified_by_round {
+                self.updates_for_all.push(id);
+                self.next_flush = self.next_flush.min(now + BATCH_DELAY);
             }
         }
-        out.extend(learnt.shown.into_iter().map(|instance| Effect::Changed { instance }));
+        out.extend(changes.visible.into_iter().map(|instance| Effect::Changed { instance }));
     }
 
-    /// Does what is due at `now`.
-    fn work(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if now >= self.sweep_at {
-            self.sweep_at = now + SWEEP * if self.hub { 1 } else { 4 };
+    fn run_due_tasks(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        if now >= self.next_sweep {
+            self.next_sweep = now + SWEEP_INTERVAL * if self.is_registry_node { 1 } else { 4 };
             self.sweep(now, out);
         }
-        if now >= self.remembered_until {
-            self.end_memory(now, out);
+        if now >= self.restored_due {
+            self.expire_restored(now, out);
         }
-        if now >= self.flush_at {
-            self.flush(now, out);
+        if now >= self.next_flush {
+            self.flush_updates(now, out);
         }
-        if !self.rounds.is_empty() {
-            self.work_rounds(now, out);
+        if !self.drain_rounds.is_empty() {
+            self.run_drain_rounds(now, out);
         }
-        if self.comparison.as_ref().is_some_and(|comparison| now >= comparison.until) {
-            self.compare_again(now, out);
+        if self.comparison.as_ref().is_some_and(|comparison| now >= comparison.deadline) {
+            self.continue_comparison(now, out);
         }
-        if now >= self.compare_at {
-            self.compare(now, out);
+        if now >= self.next_compare {
+            self.start_next_comparison(now, out);
         }
     }
 
-    fn work_rounds(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let told = self.told();
-        let mut rounds = std::mem::take(&mut self.rounds);
+    /// Answers calls, sends notices that are due, and drops finished rounds.
+    fn run_drain_rounds(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let recipients = self.drain_notice_recipients();
+        let mut rounds = std::mem::take(&mut self.drain_rounds);
         for round in &mut rounds {
-            let need = Need { voters: &self.voters, own: self.own };
-            if let Some(asks) = round.take_known(now, need) {
-                if let Some(entry) = self.list.get_mut(&round.id) {
-                    entry.confirmed = true;
+            let quorum = AckQuorum { voters: &self.voters, own_address: self.own_address };
+            if let Some(calls) = round.take_confirmed(now, quorum) {
+                if let Some(entry) = self.table.get_mut(&round.id) {
+                    entry.drain_confirmed = true;
                 }
-                let target = Some(self.own);
-                out.extend(asks.into_iter().map(|call| Effect::Accepted { call, target }));
+                let target = Some(self.own_address);
+                out.extend(calls.into_iter().map(|call| Effect::Accepted { call, target }));
             }
-            out.extend(round.take_late(now).into_iter().map(|call| Effect::Rejected { call }));
-            let to = round.take_send(now, &told, self.timing.drain_resend_interval);
-            if let Some(entry) = self.list.get(&round.id).filter(|_| !to.is_empty()) {
+            out.extend(round.take_expired(now).into_iter().map(|call| Effect::Rejected { call }));
+            let to_notify = round.take_recipients(now, &recipients, self.timing.drain_resend_interval);
+            if let Some(entry) = self.table.get(&round.id).filter(|_| !to_notify.is_empty()) {
                 let record = entry.known.to_record(now);
-                for to in to {
-                    if round.insists(to) {
+                for to in to_notify {
+                    if round.prefers_stream(to) {
                         out.push(Effect::PreferStream { to });
                     }
                     let message = Message::DrainNotice { round: round.number, record: record.clone() };
@@ -506,215 +559,226 @@
                 }
             }
         }
-        rounds.retain(|round| !round.over(now, &told));
-        self.rounds = rounds;
+        rounds.retain(|round| !round.is_finished(now, &recipients));
+        self.drain_rounds = rounds;
     }
 
-    /// Sends what was gathered.
-    fn flush(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        self.flush_at = Micros::MAX;
-        let mut wide = std::mem::take(&mut self.wide);
-        let mut share = std::mem::take(&mut self.share);
-        let mut few = std::mem::take(&mut self.few);
-        for ids in [&mut wide, &mut few] {
+    /// Sends the collected updates.
+    fn flush_updates(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        self.next_flush = Micros::MAX;
+        let mut for_all = std::mem::take(&mut self.updates_for_all);
+        let mut to_relay = std::mem::take(&mut self.updates_to_relay);
+        let mut to_gossip = std::mem::take(&mut self.drains_to_gossip);
+        for ids in [&mut for_all, &mut to_gossip] {
             ids.sort_unstable();
             ids.dedup();
         }
-        share.sort_unstable();
-        share.dedup();
-        let small = self.small();
-        if !wide.is_empty() {
-            let records = pieces(self.list.records(now, &wide));
-            tell(&self.hubs, &records, !small, out);
-            let foyers = if small { self.all_foyers() } else { self.served(OWNERS) };
-            tell(&foyers, &records, false, out);
-        }
-        if !share.is_empty() {
-            let all: Vec<InstanceId> = share.iter().map(|(id, _)| id.clone()).collect();
+        to_relay.sort_unstable();
+        to_relay.dedup();
+        let is_small = self.is_small_cluster();
+        if !for_all.is_empty() {
+            let batches = split_into_batches(self.table.records(now, &for_all));
+            send_updates(&self.registry_nodes, &batches, !is_small, out);
+            let gateways = if is_small { self.all_gateways() } else { self.served_gateways(UPDATE_SENDERS) };
+            send_updates(&gateways, &batches, false, out);
+        }
+        if !to_relay.is_empty() {
+            let all: Vec<InstanceId> = to_relay.iter().map(|(id, _)| id.clone()).collect();
             let leaving: Vec<InstanceId> =
-                share.into_iter().filter(|(_, leaves)| *leaves).map(|(id, _)| id).collect();
-            let mine = self.served(OWNERS);
-            tell(&mine, &pieces(self.list.records(now, &all)), false, out);
-            // Two hubs tell each foyer of a drain, as the one may die.
-            let second: Vec<NodeAddress> =
-                self.served(DRAIN_OWNERS).into_iter().filter(|place| !mine.contains(place)).collect();
-            tell(&second, &pieces(self.list.records(now, &leaving)), false, out);
+                to_relay.into_iter().filter(|(_, is_leaving)| *is_leaving).map(|(id, _)| id).collect();
+            let served = self.served_gateways(UPDATE_SENDERS);
+            send_updates(&served, &split_into_batches(self.table.records(now, &all)), false, out);
+            // Two registry nodes inform each gateway of a drain, as one of them may die.
+            let served_for_drains: Vec<NodeAddress> = (self.served_gateways(DRAIN_SENDERS).into_iter())
+                .filter(|gateway| !served.contains(gateway))
+                .collect();
+            let batches = split_into_batches(self.table.records(now, &leaving));
+            send_updates(&served_for_drains, &batches, false, out);
         }
-        if !few.is_empty() {
-            let to = self.some_others(PASSED_TO);
-            tell(&to, &pieces(self.list.records(now, &few)), false, out);
+        if !to_gossip.is_empty() {
+            let peers = self.random_peers(DRAIN_GOSSIP_FANOUT);
+            send_updates(&peers, &split_into_batches(self.table.records(now, &to_gossip)), false, out);
         }
     }
 
-    /// Silence judged, memories dropped, balance looked at.
+    /// Drops expired entries; a registry node also finds silent instances and balances the load.
     fn sweep(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let mut shown = Vec::new();
-        self.list.forget(now, &mut shown);
-        out.extend(shown.into_iter().map(|instance| Effect::Changed { instance }));
-        if !self.hub {
+        let mut visible = Vec::new();
+        self.table.expire(now, &mut visible);
+        out.extend(visible.into_iter().map(|instance| Effect::Changed { instance }));
+        if !self.is_registry_node {
             return;
         }
-        let patience = self.patience();
-        let mut quiet = Vec::new();
-        for entry in self.list.entries() {
+        let absent_owner_timeout = self.absent_owner_timeout();
+        let mut silent = Vec::new();
+        for entry in self.table.entries() {
             let Instance { id, state, owner, .. } = &entry.known;
             if !matches!(state, InstanceState::InService | InstanceState::Draining) {
                 continue;
             }
-            let over = if *owner == self.own {
-                now - entry.heard.max(self.watch_from) > self.timing.silence_timeout
-            } else if self.hubs.contains(owner) {
+            let is_silent = if *owner == self.own_address {
+                now - entry.last_heartbeat.max(self.silence_counts_from) > self.timing.silence_timeout
+            } else if self.registry_nodes.contains(owner) {
                 false
             } else {
-                let since = *self.absent.entry(*owner).or_insert(now);
-                // Newer word of it shows that its owner is there for others. Guards against a hub that holds a
-                // owner gone which is not, and would call its instances silent again after each correction.
-                now - since.max(self.watch_from).max(entry.told) > patience
+                let since = *self.absent_owners.entry(*owner).or_insert(now);
+                // A recent update shows that other nodes reach the owner. Otherwise, a node that wrongly
+                // considers the owner down would declare its instances silent again after each correction.
+                now - since.max(self.silence_counts_from).max(entry.last_update) > absent_owner_timeout
             };
-            if over {
-                quiet.push(id.clone());
+            if is_silent {
+                silent.push(id.clone());
             }
         }
-        let list = &self.list;
-        self.absent.retain(|place, _| list.entries().any(|entry| entry.known.owner == *place));
-        let mut learnt = Learnt::default();
-        for id in quiet {
-            self.list.quiet(now, self.own, &id, &mut learnt);
-        }
-        self.spread(now, learnt, None, out);
-        self.balance();
-    }
-
-    /// Remembered ones that nobody has heard of anew are silent. Of those that another hub keeps that is up, that
-    /// hub judges: it remembers them itself.
-    fn end_memory(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        self.remembered_until = Micros::MAX;
-        if self.stale_tellings > 0 {
-            self.stale_tellings -= 1;
-            self.wide.extend_from_slice(&self.stale);
-            self.flush_at = now;
-            self.tell_stale_again(now);
+        let table = &self.table;
+        self.absent_owners.retain(|owner, _| table.entries().any(|entry| entry.known.owner == *owner));
+        let mut changes = Changes::default();
+        for id in silent {
+            self.table.mark_silent(now, self.own_address, &id, &mut changes);
+        }
+        self.queue_for_all(now, changes, None, out);
+        self.choose_rebalance_target();
+    }
+
+    /// Marks restored instances without any news since the start as silent, then repeats the update about
+    /// them a few times. Instances owned by another registry node that is up are left to that node, which has
+    /// restored them itself.
+    fn expire_restored(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        self.restored_due = Micros::MAX;
+        if self.silent_restored_repeats_left > 0 {
+            self.silent_restored_repeats_left -= 1;
+            self.updates_for_all.extend_from_slice(&self.silent_restored);
+            self.next_flush = now;
+            self.schedule_silent_restored_repeat(now);
             return;
         }
-        let mine = |known: &Instance| known.owner == self.own || !self.hubs.contains(&known.owner);
-        let stale = self.list.entries().filter(|entry| entry.remembered && mine(&entry.known));
-        let stale = stale.filter(|entry| entry.known.state == InstanceState::InService);
-        let stale: Vec<InstanceId> = stale.map(|entry| entry.known.id.clone()).collect();
-        let mut learnt = Learnt::default();
-        for id in &stale {
-            self.list.quiet(now, self.own, id, &mut learnt);
+        let judged_here =
+            |known: &Instance| known.owner == self.own_address || !self.registry_nodes.contains(&known.owner);
+        let silent = (self.table.entries())
+            .filter(|entry| entry.restored && judged_here(&entry.known))
+            .filter(|entry| entry.known.state == InstanceState::InService);
+        let silent: Vec<InstanceId> = silent.map(|entry| entry.known.id.clone()).collect();
+        let mut changes = Changes::default();
+        for id in &silent {
+            self.table.mark_silent(now, self.own_address, id, &mut changes);
         }
-        if !stale.is_empty() {
-            (self.stale, self.stale_tellings) = (stale, TOLD_AGAIN);
-            self.tell_stale_again(now);
+        if !silent.is_empty() {
+            (self.silent_restored, self.silent_restored_repeats_left) = (silent, SILENT_RESTORED_REPEATS);
+            self.schedule_silent_restored_repeat(now);
         }
-        self.spread(now, learnt, None, out);
+        self.queue_for_all(now, changes, None, out);
     }
 
-    fn tell_stale_again(&mut self, now: Micros) {
-        if self.stale_tellings > 0 {
-            self.remembered_until = now + TOLD_AGAIN_EVERY;
+    fn schedule_silent_restored_repeat(&mut self, now: Micros) {
+        if self.silent_restored_repeats_left > 0 {
+            self.restored_due = now + SILENT_RESTORED_REPEAT_INTERVAL;
         } else {
-            self.stale.clear();
+            self.silent_restored.clear();
         }
     }
 
-    /// How long a owner has to be away before this hub speaks for it: hubs one after the other, and those
-    /// that see fewer than half of the hubs there were last, as after a cut, much later.
-    fn patience(&self) -> Micros {
-        let rank = self.hubs.iter().filter(|place| **place < self.own).count() as Micros;
-        let absent = self.absent.len();
-        let cut_off = absent > self.hubs.len() + 1;
-        self.timing.silence_timeout * if cut_off { 3 } else { 1 } + rank * 100 * MS
+    /// How long an owner has to be down before this node judges its instances. Registry nodes do so one after
+    /// the other; a node that sees less than half of the registry nodes that there were before, as in a
+    /// network partition, waits three times as long.
+    fn absent_owner_timeout(&self) -> Micros {
+        let rank = self.registry_nodes.iter().filter(|node| **node < self.own_address).count() as Micros;
+        let sees_minority = self.absent_owners.len() > self.registry_nodes.len() + 1;
+        self.timing.silence_timeout * if sees_minority { 3 } else { 1 } + rank * ABSENT_OWNER_STAGGER
     }
 
-    /// Chooses a hub that gets an instance where this one has far more than its share.
-    fn balance(&mut self) {
-        self.shed_to = None;
-        let mut loads: IndexMap<NodeAddress, usize> = self.hubs.iter().map(|place| (*place, 0)).collect();
-        let (mut mine, mut all) = (0, 0);
-        for entry in self.list.entries().filter(|entry| entry.known.state == InstanceState::InService) {
-            all += 1;
-            if entry.known.owner == self.own {
-                mine += 1;
+    /// Chooses a registry node to take over an instance if this node owns far more than its share.
+    fn choose_rebalance_target(&mut self) {
+        self.rebalance_target = None;
+        let mut loads: IndexMap<NodeAddress, usize> =
+            self.registry_nodes.iter().map(|node| (*node, 0)).collect();
+        let (mut own_load, mut total) = (0, 0);
+        for entry in self.table.entries().filter(|entry| entry.known.state == InstanceState::InService) {
+            total += 1;
+            if entry.known.owner == self.own_address {
+                own_load += 1;
             } else if let Some(load) = loads.get_mut(&entry.known.owner) {
                 *load += 1;
             }
         }
-        let share = all / (self.hubs.len() + 1);
-        if mine <= share + (share / 2).max(2) {
+        let share = total / (self.registry_nodes.len() + 1);
+        if own_load <= share + (share / 2).max(2) {
             return;
         }
-        // One that is up and no voter may not be in touch with those who are.
+        // A node that is up but no voter may not be in contact with the voters.
         let voters = &self.voters;
-        loads.retain(|place, load| *load < share.max(1) && voters.contains(place));
+        loads.retain(|node, load| *load < share.max(1) && voters.contains(node));
         if !loads.is_empty() {
             let index = self.rng.rand_range(0..loads.len() as u32) as usize;
-            self.shed_to = loads.get_index(index).map(|(place, _)| *place);
+            self.rebalance_target = loads.get_index(index).map(|(node, _)| *node);
         }
     }
 
-    fn small(&self) -> bool {
-        self.hubs.len() + self.others.len() < SMALL
+    fn is_small_cluster(&self) -> bool {
+        self.registry_nodes.len() + self.gateways.len() < SMALL_CLUSTER_NODES
     }
 
-    /// Foyers that this hub tells: those that watch it, and its share of those that can't choose.
-    fn served(&self, owners: usize) -> Vec<NodeAddress> {
-        let unwatching = self.unwatching.as_ref().unwrap_or(&self.others);
-        let share = types::assigned_share(self.own, &self.hubs, unwatching, owners);
-        let mut served = self.watched_by.clone();
-        served.extend(share.into_iter().filter(|place| !self.watched_by.contains(place)));
+    /// Gateways that this registry node informs: those that have chosen it, and its share of those that can't
+    /// choose, each of which is assigned to `senders` registry nodes.
+    fn served_gateways(&self, senders: usize) -> Vec<NodeAddress> {
+        let unable_to_watch = self.unable_to_watch.as_ref().unwrap_or(&self.gateways);
+        let share = types::assigned_share(self.own_address, &self.registry_nodes, unable_to_watch, senders);
+        let mut served = self.watching.clone();
+        served.extend(share.into_iter().filter(|gateway| !self.watching.contains(gateway)));
         served
     }
 
-    /// Those that are up, and those that watch this hub though they are held dead here.
-    fn all_foyers(&self) -> Vec<NodeAddress> {
-        let mut foyers = self.others.clone();
-        foyers.extend(self.watched_by.iter().filter(|place| !self.others.contains(place)));
-        foyers
+    /// Gateways that are up, and those that have chosen this node although the membership considers them
+    /// down.
+    fn all_gateways(&self) -> Vec<NodeAddress> {
+        let mut gateways = self.gateways.clone();
+        gateways.extend(self.watching.iter().filter(|gateway| !self.gateways.contains(gateway)));
+        gateways
     }
 
-    fn some_others(&mut self, count: usize) -> Vec<NodeAddress> {
-        let mut all: Vec<NodeAddress> = self.hubs.iter().chain(&self.others).copied().collect();
+    /// Up to `count` different nodes, chosen at random.
+    fn random_peers(&mut self, count: usize) -> Vec<NodeAddress> {
+        let mut candidates: Vec<NodeAddress> =
+            self.registry_nodes.iter().chain(&self.gateways).copied().collect();
         let mut chosen = Vec::with_capacity(count);
-        while chosen.len() < count && !all.is_empty() {
-            let index = self.rng.rand_range(0..all.len() as u32) as usize;
-            chosen.push(all.swap_remove(index));
+        while chosen.len() < count && !candidates.is_empty() {
+            let index = self.rng.rand_range(0..candidates.len() as u32) as usize;
+            chosen.push(candidates.swap_remove(index));
         }
         chosen
     }
 
-    fn chance(&mut self, below: u32) -> Micros {
-        Micros::from(self.rng.rand_range(0..below))
+    fn random_below(&mut self, bound: u32) -> Micros {
+        Micros::from(self.rng.rand_range(0..bound))
     }
 }
 
-fn give(to: NodeAddress, records: Vec<Record>, out: &mut Vec<Effect>) {
-    let gives = pieces(records).into_iter().map(|records| Message::Records { records });
-    out.extend(gives.map(|message| Effect::Send { to, message }));
+fn send_records(to: NodeAddress, records: Vec<Record>, out: &mut Vec<Effect>) {
+    let messages = split_into_batches(records).into_iter().map(|records| Message::Records { records });
+    out.extend(messages.map(|message| Effect::Send { to, message }));
 }
 
-fn tell(to: &[NodeAddress], pieces: &[Vec<Record>], relay: bool, out: &mut Vec<Effect>) {
-    for to in to {
-        for records in pieces {
+fn send_updates(nodes: &[NodeAddress], batches: &[Vec<Record>], relay: bool, out: &mut Vec<Effect>) {
+    for to in nodes {
+        for records in batches {
             let message = Message::Update { relay, records: records.clone() };
             out.push(Effect::Send { to: *to, message });
         }
     }
 }
 
-/// Records in portions that fit one message each.
-fn pieces(records: Vec<Record>) -> Vec<Vec<Record>> {
-    let (mut pieces, mut length) = (Vec::new(), PIECE);
+/// Splits records into batches that fit into one message each.
+fn split_into_batches(records: Vec<Record>) -> Vec<Vec<Record>> {
+    // Starts as if a batch were full, so that the first record begins one.
+    let (mut batches, mut bytes) = (Vec::new(), MAX_RECORD_BYTES);
     for record in records {
-        length += record.length();
-        if length > PIECE {
-            pieces.push(Vec::new());
-            length = record.length();
+        bytes += record.encoded_bytes();
+        if bytes > MAX_RECORD_BYTES {
+            batches.push(Vec::new());
+            bytes = record.encoded_bytes();
         }
-        if let Some(piece) = pieces.last_mut() {
-            piece.push(record);
+        if let Some(batch) = batches.last_mut() {
+            batch.push(record);
         }
     }
-    pieces
+    batches
 }
