--- a/crates/transport/src/disk.rs
+++ b/crates/transport/src/disk.rs
@@ -1,7 +1,8 @@
 //! Disk store: one redb file in the data directory.
 //!
-//! The file is made under another name, synced, then renamed, so that the final name stands only for a file
-//! that was whole; what can't be read under it is damage, never a beginning that was cut short.
+//! The file is created under a temporary name, synced and then renamed, so that the final name only ever
+//! refers to a file that was complete. If that file can't be read, it is damaged, never an interrupted
+//! creation.
 
 use std::fmt;
 use std::fs::{self, File, OpenOptions};
@@ -13,29 +14,33 @@
 use redb::{Builder, Database, Durability, ReadableDatabase, StorageBackend, TableDefinition};
 use storage::{Batch, Pairs, Step, Store, StoreError};
 
-const NAME: &str = "ledger.redb";
-/// The file while it is made; worth nothing under this name.
-const UNBORN: &str = "ledger.new";
-const ASIDE: &str = "ledger.bad";
+const FILE_NAME: &str = "ledger.redb";
+/// Name of the file while it is created; it holds nothing of value under this name.
+const TEMPORARY_NAME: &str = "ledger.new";
+/// Name of a damaged file that was set aside.
+const SET_ASIDE_NAME: &str = "ledger.bad";
 const TABLE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("ledger");
 const CACHE_BYTES: usize = 1 << 20;
-/// The library's file format: the newest version that it reads, and where a file names its own, once for each of
-/// its two commits; from redb 4's notes on its header. What it says itself of a newer one is that it is damaged.
-const NEWEST: u8 = 3;
-const VERSIONS: [usize; 2] = [64, 192];
+/// Newest version of redb's file format that the library reads. The library itself reports a file of a newer
+/// version as damaged.
+const NEWEST_FORMAT_VERSION: u8 = 3;
+/// Where a file states its format version, once for each of its two commit slots, according to redb 4's notes
+/// on its header.
+const FORMAT_VERSION_OFFSETS: [usize; 2] = [64, 192];
+const HEADER_BYTES: usize = 256;
 const MAGIC: &[u8] = b"redb\x1a\x0a\xa9\x0d\x0a";
 
-/// The few things a store asks of a directory; tests put one below it that loses power.
+/// Operations that a store needs on a directory. Tests provide one that simulates power failures.
 pub trait Directory: Send {
     type File: StorageBackend;
 
-    /// Opens a file if there is one.
+    /// Opens a file if it exists.
     fn open(&self, name: &str) -> io::Result<Option<Self::File>>;
-    /// Makes a new, empty file in place of any of that name.
+    /// Creates an empty file, in place of an existing one of that name.
     fn create(&self, name: &str) -> io::Result<Self::File>;
-    /// Takes the place of any file of the new name; lasting only after `sync`.
+    /// Renames a file, in place of an existing one of the new name. Durable only after `sync`.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-    /// Makes the names last.
+    /// Makes the names in the directory durable.
     fn sync(&self) -> io::Result<()>;
 }
 
@@ -69,68 +74,70 @@
     }
 }
 
-/// A store in one file of a directory. Each batch is one transaction with one sync before it returns.
+/// A store in one file of a directory. Each batch is one transaction, synced before the call returns.
 pub struct DiskStore<F: Directory = FsDirectory> {
-    folder: F,
-    /// None after a failure: what is on disk is unknown then, and the file is made anew before it is used.
+    directory: F,
+    /// `None` after a failure: the contents of the disk are unknown then, and the file is rewritten before it
+    /// is used.
     database: Option<Database>,
 }
 
 impl DiskStore<FsDirectory> {
-    /// Opens the store in `dir`, or makes an empty one there. Fails with `Damaged` where the file can't be
-    /// read: it may hold what was acknowledged, so nothing is begun over it.
+    /// Opens the store in `dir`, or creates an empty one. Fails with `Damaged` if the file can't be read: it
+    /// may hold acknowledged data, so it is not replaced.
     pub fn open(dir: &Path) -> Result<Self, StoreError> {
-        fs::create_dir_all(dir).map_err(|e| failed("making the data directory", &e))?;
+        fs::create_dir_all(dir).map_err(|e| failed("creating the data directory", &e))?;
         Self::open_in(FsDirectory(dir.to_owned()))
     }
 
-    /// Puts a damaged file out of the way, so that the next `open` begins an empty store: the disk then has a
-    /// new life, and nothing it promised in the one before is expected of it.
+    /// Renames a damaged file, so that the next `open` creates an empty store. The disk then gets a new id,
+    /// and nothing that was acknowledged under the old one is expected of it.
     pub fn set_aside(dir: &Path) -> Result<(), StoreError> {
         Self::set_aside_in(&FsDirectory(dir.to_owned()))
     }
 
-    /// Whether a damaged file was ever put out of the way in `dir`: the disk then has been in use before, even
-    /// where nothing has been kept on it since.
+    /// Whether a damaged file was ever set aside in `dir`: the disk has then been in use before, even if
+    /// nothing has been stored on it since.
     pub fn was_set_aside(dir: &Path) -> bool {
-        dir.join(ASIDE).exists()
+        dir.join(SET_ASIDE_NAME).exists()
     }
 }
 
 impl<F: Directory> DiskStore<F> {
-    /// As `open`, over any folder.
-    pub fn open_in(folder: F) -> Result<Self, StoreError> {
-        let database = open_anew(&folder)?;
-        Ok(Self { folder, database: Some(database) })
+    /// Like `open`, in any directory.
+    pub fn open_in(directory: F) -> Result<Self, StoreError> {
+        let database = open_rewritten(&directory)?;
+        Ok(Self { directory, database: Some(database) })
     }
 
-    /// As `set_aside`, in any folder.
-    pub fn set_aside_in(folder: &F) -> Result<(), StoreError> {
-        folder.rename(NAME, ASIDE).map_err(|e| failed("setting the file aside", &e))?;
-        folder.sync().map_err(|e| failed("syncing the folder", &e))
+    /// Like `set_aside`, in any directory.
+    pub fn set_aside_in(directory: &F) -> Result<(), StoreError> {
+        directory.rename(FILE_NAME, SET_ASIDE_NAME).map_err(|e| failed("setting the file aside", &e))?;
+        directory.sync().map_err(|e| failed("syncing the directory", &e))
     }
 
-    /// Does something with the database; after a failure of any kind it is closed and in doubt.
-    fn with<T>(
+    /// Runs an operation on the database. After any failure the database is closed and its contents are in
+    /// doubt.
+    fn with_database<T>(
         &mut self, doing: &'static str, work: impl FnOnce(&Database) -> Result<T, redb::Error>,
     ) -> Result<T, StoreError> {
         let database = match self.database.take() {
             Some(database) => database,
-            None => open_anew(&self.folder)?,
+            None => open_rewritten(&self.directory)?,
         };
-        let done = guarded(doing, || work(&database))?;
+        let result = guarded(doing, || work(&database))?;
         self.database = Some(database);
-        Ok(done)
+        Ok(result)
     }
 }
 
 impl<F: Directory> Store for DiskStore<F> {
     fn put(&mut self, batch: &Batch) -> Result<(), StoreError> {
-        self.with("writing", |database| write(database, batch))
+        self.with_database("writing", |database| write(database, batch))
     }
 
     fn scan(&mut self, from: &[u8], until: &[u8]) -> Result<Pairs, StoreError> {
-        self.with("reading", |database| read(database, from, until))
+        self.with_database("reading", |database| read(database, from, until))
     }
 }
 
@@ -140,40 +147,41 @@
     }
 }
 
-/// Opens what is there and writes it to a new file, which takes its place; or makes an empty one. WriteOutcome at
-/// every start and after every failure, since a sync may have failed, in this process or in one that was
-/// killed: pages the system then counts as written are not on the disk, can still be read, and no later sync
-/// writes them.
-fn open_anew<F: Directory>(folder: &F) -> Result<Database, StoreError> {
+/// Reads the existing file, if any, and replaces it by a new file with the same contents. Done at every start
+/// and after every failure, since a sync may have failed, in this process or in one that was killed. After a
+/// failed sync, the system counts pages as written that are not on the disk: they can still be read, and no
+/// later sync writes them.
+fn open_rewritten<F: Directory>(directory: &F) -> Result<Database, StoreError> {
     let mut batch = Batch::default();
-    if let Some(file) = folder.open(NAME).map_err(|e| failed("opening", &e))? {
-        if let Some(version) = newer(&file).map_err(|e| failed("opening", &e))? {
-            let why =
-                format!("the file has version {version} of the library's format, {NEWEST} is read here");
+    if let Some(file) = directory.open(FILE_NAME).map_err(|e| failed("opening", &e))? {
+        if let Some(version) = newer_format_version(&file).map_err(|e| failed("opening", &e))? {
+            let why = format!(
+                "the file has version {version} of the library's format, {NEWEST_FORMAT_VERSION} is read here"
+            );
             return Err(StoreError::Failed { doing: "opening", why });
         }
         let database = open_file("opening", file)?;
         let pairs = guarded("reading", || read(&database, &[], &[]))?;
         batch.steps.extend(pairs.into_iter().map(|(key, value)| Step::Put { key, value }));
     }
-    let file = folder.create(UNBORN).map_err(|e| failed("making the file", &e))?;
-    let database = open_file("making the file", file)?;
-    guarded("making the file", || write(&database, &batch))?;
-    folder.rename(UNBORN, NAME).map_err(|e| failed("naming the file", &e))?;
-    folder.sync().map_err(|e| failed("syncing the folder", &e))?;
+    let file = directory.create(TEMPORARY_NAME).map_err(|e| failed("creating the file", &e))?;
+    let database = open_file("creating the file", file)?;
+    guarded("creating the file", || write(&database, &batch))?;
+    directory.rename(TEMPORARY_NAME, FILE_NAME).map_err(|e| failed("renaming the file", &e))?;
+    directory.sync().map_err(|e| failed("syncing the directory", &e))?;
     Ok(database)
 }
 
-/// The version of a file that a newer library made. A store is made anew at each start, so that such a file names
-/// it in both places; one of them alone is damage.
-fn newer(file: &impl StorageBackend) -> io::Result<Option<u8>> {
-    let mut head = [0; 256];
-    if file.len()? < head.len() as u64 {
+/// The format version of a file that a newer library wrote, or `None` for any other file. As a store is
+/// rewritten at each start, such a file states its version in both slots; in one slot alone, it is damage.
+fn newer_format_version(file: &impl StorageBackend) -> io::Result<Option<u8>> {
+    let mut header = [0; HEADER_BYTES];
+    if file.len()? < header.len() as u64 {
         return Ok(None);
     }
-    file.read(0, &mut head)?;
-    let [first, second] = VERSIONS.map(|at| head[at]);
-    Ok((head.starts_with(MAGIC) && first == second && first > NEWEST).then_some(first))
+    file.read(0, &mut header)?;
+    let [first, second] = FORMAT_VERSION_OFFSETS.map(|offset| header[offset]);
+    Ok((header.starts_with(MAGIC) && first == second && first > NEWEST_FORMAT_VERSION).then_some(first))
 }
 
 fn open_file(doing: &'static str, file: impl StorageBackend) -> Result<Database, StoreError> {
@@ -219,16 +227,16 @@
         .collect()
 }
 
-/// Turns the library's errors, and its panics over a damaged file, into values.
+/// Converts the library's errors, and its panics on a damaged file, to `StoreError`.
 fn guarded<T>(doing: &'static str, work: impl FnOnce() -> Result<T, redb::Error>) -> Result<T, StoreError> {
     match catch_unwind(AssertUnwindSafe(work)) {
-        Ok(Ok(done)) => Ok(done),
+        Ok(Ok(result)) => Ok(result),
         Ok(Err(redb::Error::Io(error)))
             if !matches!(error.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) =>
         {
             Err(failed(doing, &error))
         }
-        // A file of another version of the library is not damaged: it is for a program that can read it.
+        // A file of another version of the library is not damaged: a program with that version can read it.
         Ok(Err(
             error @ (redb::Error::PreviousIo
             | redb::Error::DatabaseAlreadyOpen
--- a/crates/transport/src/disk_writer.rs
+++ b/crates/transport/src/disk_writer.rs
@@ -1,5 +1,5 @@
-//! Disk hand (write thread): carries out a ledger's writes in order on a thread of its own, so that nobody
-//! who answers clients waits for the disk.
+//! Writer thread: performs a ledger's writes in order on a thread of its own, so that whoever answers clients
+//! never waits for the disk.
 
 use std::io;
 use std::sync::Arc;
@@ -12,77 +12,79 @@
 use storage::{Ledger, LedgerError, Store};
 use tokio::sync::mpsc;
 
-/// Operators filter log lines by this name, which is older than the package's.
+/// Operators filter log lines by this target, which is older than the module's name.
 const LOG_TARGET: &str = "wings::hand";
 
-/// Most writes that wait in the queue, and most that wait out a failing disk.
-const WAITING: usize = 1_024;
+/// Most writes that wait in the queue, and most that are batched while the disk fails.
+const MAX_WAITING_WRITES: usize = 1_024;
 /// Most writes in one batch.
-const TOGETHER: usize = 256;
+const MAX_BATCH_WRITES: usize = 256;
 const STACK_BYTES: usize = 512 << 10;
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// Delay before the first retry after a failure; it doubles with each further one.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What became of a write. `ok: false` says that it is not known to be on disk; unless it was refused, it
-/// stays in line, before all later ones, and `ok: true` follows once it is there.
+/// Result of a write. With `durable: false` the write is not known to be on disk. Unless it was rejected, it
+/// stays in the queue, before all later ones, and `durable: true` follows once it is on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteOutcome {
     pub write_no: WriteNo,
     pub durable: bool,
 }
 
-/// Owns the thread that owns the ledger. Dropped, it lets the thread finish what waits.
+/// Handle of the thread that owns the ledger. When the handle is dropped, the thread finishes the waiting
+/// writes.
 #[derive(Debug)]
 pub struct DiskWriter<S> {
     queue: SyncSender<Write>,
-    done: mpsc::UnboundedSender<WriteOutcome>,
+    outcomes: mpsc::UnboundedSender<WriteOutcome>,
     thread: JoinHandle<Ledger<S>>,
-    /// A write was refused, here or by the thread: later ones would leave a gap, so they are refused too.
-    refusing: Arc<AtomicBool>,
+    /// Set once a write was rejected, here or by the thread: later ones would leave a gap, so they are
+    /// rejected too.
+    rejecting: Arc<AtomicBool>,
 }
 
 impl<S: Store + 'static> DiskWriter<S> {
-    /// Starts the thread. Each write is answered in the receiver: at once when it is refused, else when its
-    /// batch is durable, and before that with `ok: false` when the disk fails.
+    /// Starts the thread. The returned receiver gets the outcome of each write: at once if it is rejected,
+    /// otherwise when its batch is durable, and before that with `durable: false` if the disk fails.
     pub fn start(ledger: Ledger<S>) -> io::Result<(Self, mpsc::UnboundedReceiver<WriteOutcome>)> {
-        let (queue, waiting) = sync_channel(WAITING);
-        let (done, dones) = mpsc::unbounded_channel();
-        let answers = done.clone();
-        let refusing = Arc::new(AtomicBool::new(false));
-        let misfit = refusing.clone();
+        let (queue, queued) = sync_channel(MAX_WAITING_WRITES);
+        let (outcomes, receiver) = mpsc::unbounded_channel();
+        let rejecting = Arc::new(AtomicBool::new(false));
+        let worker = Worker { ledger, queued, outcomes: outcomes.clone(), rejecting: rejecting.clone() };
         let thread = thread::Builder::new()
             .name("disk-hand".into())
             .stack_size(STACK_BYTES)
-            .spawn(move || Worker { ledger, waiting, answers, misfit }.run())?;
-        Ok((Self { queue, done, thread, refusing }, dones))
+            .spawn(move || worker.run())?;
+        Ok((Self { queue, outcomes, thread, rejecting }, receiver))
     }
 
-    /// Hands over a write; never waits. False, and an answer of `ok: false`, if it was refused: the queue was
-    /// full, or an earlier one was refused. Likewise, after a write that does not fit the ledger, that one
-    /// and all later ones are answered `ok: false` for good. The ledger then is to be opened anew: what it
-    /// holds is sound, but it lacks writes that the caller has made.
+    /// Queues a write without waiting. Returns false, and reports `durable: false`, if the write is rejected
+    /// because the queue is full or an earlier write was rejected. After a write that does not fit the
+    /// ledger, that one and all later ones are also reported as `durable: false` for good. The ledger then
+    /// has to be opened again: its contents are sound, but it lacks writes that the caller has made.
     pub fn submit(&mut self, write: Write) -> bool {
-        let no = write.no;
+        let write_no = write.no;
         if !self.is_rejecting() {
             match self.queue.try_send(write) {
                 Ok(()) => return true,
                 Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                    self.refusing.store(true, Ordering::Relaxed);
+                    self.rejecting.store(true, Ordering::Relaxed);
                 }
             }
         }
-        // The receiver may be gone, and then nobody asks.
-        let _ = self.done.send(WriteOutcome { write_no: no, durable: false });
+        // If the receiver is gone, nobody needs the outcome.
+        let _ = self.outcomes.send(WriteOutcome { write_no, durable: false });
         false
     }
 
-    /// Whether writes are refused for good, until the ledger is opened anew. A disk that fails is no such
-    /// case: what it was handed stays in line.
+    /// Whether writes are rejected until the ledger is opened again. A failing disk is no such case: queued
+    /// writes are retried.
     pub fn is_rejecting(&self) -> bool {
-        self.refusing.load(Ordering::Relaxed)
+        self.rejecting.load(Ordering::Relaxed)
     }
 
-    /// Ends after what waits is on disk, or at the first failure; gives the ledger back.
+    /// Stops the thread once the waiting writes are on disk, or at the first failure, and returns the ledger.
     pub fn stop(self) -> Option<Ledger<S>> {
         drop(self.queue);
         self.thread.join().ok()
@@ -91,82 +93,84 @@
 
 struct Worker<S> {
     ledger: Ledger<S>,
-    waiting: Receiver<Write>,
-    answers: mpsc::UnboundedSender<WriteOutcome>,
-    /// Set before a write that does not fit is answered.
-    misfit: Arc<AtomicBool>,
+    queued: Receiver<Write>,
+    outcomes: mpsc::UnboundedSender<WriteOutcome>,
+    /// Set before a write that does not fit the ledger is reported.
+    rejecting: Arc<AtomicBool>,
 }
 
 impl<S: Store> Worker<S> {
     fn run(mut self) -> Ledger<S> {
         let mut batch = Vec::new();
-        while let Ok(first) = self.waiting.recv() {
+        while let Ok(first) = self.queued.recv() {
             batch.push(first);
-            self.gather(&mut batch);
-            if !self.keep(&mut batch) {
+            self.fill_batch(&mut batch);
+            if !self.write_batch(&mut batch) {
                 break;
             }
             batch.clear();
         }
-        // Only after a write that did not fit does anything come here.
-        while let Ok(write) = self.waiting.recv() {
-            self.answer(&[write], false);
+        // Reached with queued writes only after one that did not fit the ledger.
+        while let Ok(write) = self.queued.recv() {
+            self.report(&[write], false);
         }
         self.ledger
     }
 
-    /// Takes what waits already, so that one sync covers it all.
-    fn gather(&self, batch: &mut Vec<Write>) {
-        while batch.len() < TOGETHER {
-            match self.waiting.try_recv() {
+    /// Adds the writes that are queued already, so that one sync covers them all.
+    fn fill_batch(&self, batch: &mut Vec<Write>) {
+        while batch.len() < MAX_BATCH_WRITES {
+            match self.queued.try_recv() {
                 Ok(write) => batch.push(write),
                 Err(TryRecvError::Empty | TryRecvError::Disconnected) => return,
             }
         }
     }
 
-    /// Keeps the batch, however long the disk fails. False when there is no sense in going on.
-    fn keep(&mut self, batch: &mut Vec<Write>) -> bool {
-        let mut pause = FIRST_PAUSE;
-        let mut told = 0;
+    /// Writes the batch and retries for as long as the disk fails. Returns false if the thread has to end.
+    fn write_batch(&mut self, batch: &mut Vec<Write>) -> bool {
+        let mut retry_delay = INITIAL_RETRY_DELAY;
+        // So many writes at the start of the batch have been reported as not durable already.
+        let mut reported = 0;
         loop {
             match self.ledger.keep_all(batch) {
                 Ok(()) => {
-                    self.answer(batch, true);
+                    self.report(batch, true);
                     return true;
                 }
                 Err(error @ LedgerError::Store(_)) => log::warn!(target: LOG_TARGET, "disk: {error}"),
                 Err(error) => {
                     log::error!(target: LOG_TARGET, "write that does not fit the ledger: {error}");
-                    self.misfit.store(true, Ordering::Relaxed);
-                    self.answer(&batch[told..], false);
+                    self.rejecting.store(true, Ordering::Relaxed);
+                    self.report(&batch[reported..], false);
                     return false;
                 }
             }
-            self.answer(&batch[told..], false);
-            if !self.wait(batch, pause) {
+            self.report(&batch[reported..], false);
+            if !self.wait_for_retry(batch, retry_delay) {
                 return false;
             }
-            told = batch.len();
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            reported = batch.len();
+            retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    /// Lets a failing disk be for a while; what comes meanwhile is told of the failure and joins the batch.
-    fn wait(&self, batch: &mut Vec<Write>, pause: Duration) -> bool {
-        let until = Instant::now() + pause;
+    /// Waits before a retry. Writes that arrive meanwhile are reported as not durable and join the batch.
+    /// Returns false if the handle has been dropped.
+    fn wait_for_retry(&self, batch: &mut Vec<Write>, delay: Duration) -> bool {
+        let until = Instant::now() + delay;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return true;
             }
-            if batch.len() >= WAITING {
-                thread::sleep(left);
+            if batch.len() >= MAX_WAITING_WRITES {
+                thread::sleep(remaining);
                 return true;
             }
-            match self.waiting.recv_timeout(left) {
+            match self.queued.recv_timeout(remaining) {
                 Ok(write) => {
-                    self.answer(std::slice::from_ref(&write), false);
+                    self.report(std::slice::from_ref(&write), false);
                     batch.push(write);
                 }
                 Err(RecvTimeoutError::Timeout) => return true,
@@ -175,10 +179,10 @@
         }
     }
 
-    fn answer(&self, writes: &[Write], ok: bool) {
+    fn report(&self, writes: &[Write], durable: bool) {
         for write in writes {
-            // The receiver may be gone, and then nobody asks.
-            let _ = self.answers.send(WriteOutcome { write_no: write.no, durable: ok });
+            // If the receiver is gone, nobody needs the outcome.
+            let _ = self.outcomes.send(WriteOutcome { write_no: write.no, durable });
         }
     }
 }
--- a/crates/transport/src/latest_value_file.rs
+++ b/crates/transport/src/latest_value_file.rs
@@ -1,5 +1,6 @@
-//! Note hand (lazy file): keeps the newest of some small values in a file of its own, on a thread of its own. A
-//! loss of power may cost the newest; a damaged one is dropped. Nothing that was promised goes here.
+//! File that holds the latest of a series of small values, written on a thread of its own. After a power
+//! failure the latest value may be missing, and a damaged one is dropped, so it must not hold anything that
+//! was acknowledged.
 
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Write};
@@ -9,27 +10,32 @@
 
 use storage::note;
 
-/// Operators filter log lines by this name, which is older than the package's.
+/// Operators filter log lines by this target, which is older than the module's name.
 const LOG_TARGET: &str = "wings::note";
 
 const STACK_BYTES: usize = 128 << 10;
 
+/// What the thread has to do.
 #[derive(Default)]
-struct Slot {
-    newest: Option<Vec<u8>>,
-    over: bool,
+struct Pending {
+    value: Option<Vec<u8>>,
+    stop: bool,
 }
 
-type Shared = Arc<(Mutex<Slot>, Condvar)>;
+type Shared = Arc<(Mutex<Pending>, Condvar)>;
 
-/// Owns the thread that writes. Dropped, it lets the thread finish the newest value.
-pub struct LatestValueFile(Shared, Option<JoinHandle<()>>);
+/// Handle of the thread that writes. When the handle is dropped, the thread finishes writing the latest
+/// value.
+pub struct LatestValueFile {
+    shared: Shared,
+    thread: Option<JoinHandle<()>>,
+}
 
 impl LatestValueFile {
-    /// Reads what is kept in `dir/name`, and starts the thread.
+    /// Reads the value in `dir/name`, if there is a sound one, and starts the thread.
     pub fn start(dir: &Path, name: &str) -> io::Result<(LatestValueFile, Option<Vec<u8>>)> {
         let path = dir.join(name);
-        let kept = match fs::read(&path) {
+        let stored = match fs::read(&path) {
             Ok(value) => note::open(&value).map(<[u8]>::to_vec).or_else(|| {
                 log::warn!(target: LOG_TARGET, "{} is damaged, and dropped", path.display());
                 None
@@ -41,61 +47,61 @@
             }
         };
         let shared = Shared::default();
-        let (slot, dir) = (shared.clone(), dir.to_owned());
+        let (thread_shared, dir) = (shared.clone(), dir.to_owned());
         let thread = thread::Builder::new()
             .name("note-hand".into())
             .stack_size(STACK_BYTES)
-            .spawn(move || run(&slot, &dir, &path))?;
-        Ok((LatestValueFile(shared, Some(thread)), kept))
+            .spawn(move || run(&thread_shared, &dir, &path))?;
+        Ok((LatestValueFile { shared, thread: Some(thread) }, stored))
     }
 
-    /// Has `bytes` written some time soon, in place of what waits; never waits for the disk.
+    /// Has `bytes` written soon, in place of a value that still waits. Never waits for the disk.
     pub fn store(&self, bytes: Vec<u8>) {
-        let (slot, woken) = &*self.0;
-        slot.lock().unwrap_or_else(PoisonError::into_inner).newest = Some(bytes);
-        woken.notify_one();
+        let (pending, wake) = &*self.shared;
+        pending.lock().unwrap_or_else(PoisonError::into_inner).value = Some(bytes);
+        wake.notify_one();
     }
 
-    /// Ends after the newest value is kept, or has failed to be.
+    /// Returns after the latest value has been written, or writing it has failed.
     pub fn stop(mut self) {
-        let thread = self.1.take();
+        let thread = self.thread.take();
         drop(self);
-        // A panic there has been told of already.
+        // A panic of the thread has been reported by the panic hook.
         let _ = thread.map(JoinHandle::join);
     }
 }
 
 impl Drop for LatestValueFile {
     fn drop(&mut self) {
-        let (slot, woken) = &*self.0;
-        slot.lock().unwrap_or_else(PoisonError::into_inner).over = true;
-        woken.notify_one();
+        let (pending, wake) = &*self.shared;
+        pending.lock().unwrap_or_else(PoisonError::into_inner).stop = true;
+        wake.notify_one();
     }
 }
 
-fn run((slot, woken): &(Mutex<Slot>, Condvar), dir: &Path, path: &Path) {
+fn run((pending, wake): &(Mutex<Pending>, Condvar), dir: &Path, path: &Path) {
     loop {
-        let mut held = slot.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut guard = pending.lock().unwrap_or_else(PoisonError::into_inner);
         let bytes = loop {
-            match held.newest.take() {
+            match guard.value.take() {
                 Some(bytes) => break bytes,
-                None if held.over => return,
-                None => held = woken.wait(held).unwrap_or_else(PoisonError::into_inner),
+                None if guard.stop => return,
+                None => guard = wake.wait(guard).unwrap_or_else(PoisonError::into_inner),
             }
         };
-        drop(held);
+        drop(guard);
         if let Err(error) = write(dir, path, &note::seal(&bytes)) {
             log::debug!(target: LOG_TARGET, "{} is not kept: {error}", path.display());
         }
     }
 }
 
-/// Whole or not at all also where power is lost, on a disk that keeps the order of a sync and a rename.
+/// Replaces the file atomically, also if power fails, on a disk that keeps the order of a sync and a rename.
 fn write(dir: &Path, path: &Path, value: &[u8]) -> io::Result<()> {
-    let unborn = path.with_extension("new");
-    let mut file = File::create(&unborn)?;
+    let temporary = path.with_extension("new");
+    let mut file = File::create(&temporary)?;
     file.write_all(value)?;
     file.sync_data()?;
-    fs::rename(&unborn, path)?;
+    fs::rename(&temporary, path)?;
     File::open(dir)?.sync_all()
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,6 @@
-//! Wings (transports and stores): what carries the words between machines and keeps them on disk. Nothing
-//! here decides anything; every transport and every store passes the contracts in `tests/contracts.rs`.
+//! Transports that carry messages between nodes (UDP and TCP, or in memory) and stores that keep data (on
+//! disk or in memory). They contain no protocol logic. Every transport and every store passes the contracts
+//! in `tests/contracts.rs`.
 
 mod disk;
 mod disk_writer;
@@ -25,23 +26,26 @@
 pub use socket_transport::{SocketTransport, TransportLimits};
 pub use stats::TransportStats;
 
-/// A message as it was sent.
+/// A complete message, as it was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedMessage {
+    /// Address of the sending node.
     pub from: Ipv4Addr,
     pub bytes: Vec<u8>,
-    /// What brought it.
+    /// Whether it came by datagram or by stream.
     pub carrier: Carrier,
 }
 
-/// What has arrived, in order.
+/// Received messages in order of arrival.
 pub type MessageReceiver = mpsc::Receiver<ReceivedMessage>;
 
-/// Carries messages like datagrams: each one whole, once or not at all, in any order, never waiting.
+/// Carries messages with the guarantees of datagrams: each arrives complete, at most once and in any order.
+/// Sending never waits.
 pub trait Transport {
-    /// Sends, or drops what can't be sent now. Whoever needs an answer asks again.
+    /// Sends a message, or drops it if it can't be sent now. Callers that need an answer have to retry.
     fn send(&self, to: Ipv4Addr, bytes: Vec<u8>);
 
-    /// As `send`, by a stream whatever its length: not lost at a full link, but later.
+    /// Like `send`, but by a stream, whatever the length: on a saturated link the message is delayed and not
+    /// lost.
     fn send_by_stream(&self, to: Ipv4Addr, bytes: Vec<u8>);
 }
--- a/crates/transport/src/memory_store.rs
+++ b/crates/transport/src/memory_store.rs
@@ -1,5 +1,5 @@
-//! Memory store: a store without a disk, with the failures of one. Its clones share the contents, so that a
-//! test can lose power under a ledger and open it again.
+//! In-memory store for tests that can fail like a disk. Clones share the contents, so that a test can
+//! simulate a power failure under an open ledger and open it again.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -7,37 +7,40 @@
 
 use storage::{Batch, Pairs, Step, Store, StoreError};
 
-/// How the next puts fail.
+/// How the next writes fail.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     #[default]
     None,
-    /// Each put fails and changes nothing, as on a full disk.
+    /// Each write fails and changes nothing, as on a full disk.
     Refuse,
-    /// Each put fails, but its changes are there until power is lost, as when only the sync fails.
+    /// Each write fails, but its changes are visible until a power failure, as when only the sync fails.
     Unsynced,
-    /// Each put claims success, but its changes last only until power is lost, as on a disk that lies.
+    /// Each write claims success, but its changes last only until a power failure, as on a disk that
+    /// acknowledges syncs it has not done.
     Lying,
 }
 
 #[derive(Debug, Default)]
 struct Contents {
     live: BTreeMap<Vec<u8>, Vec<u8>>,
-    /// What outlasts a loss of power, where it differs from `live`.
+    /// What survives a power failure, if it differs from `live`.
     durable: Option<BTreeMap<Vec<u8>, Vec<u8>>>,
     fault: Fault,
-    puts: u64,
+    put_count: u64,
 }
 
+/// Store in memory; clones share the contents.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStore(Arc<Mutex<Contents>>);
 
 impl MemoryStore {
+    /// Sets how the next writes fail.
     pub fn set_fault(&self, fault: Fault) {
         self.lock().fault = fault;
     }
 
-    /// All that no put has made durable is gone; puts work again.
+    /// Simulates a power failure: changes that no write has made durable are lost, and writes succeed again.
     pub fn lose_power(&self) {
         let mut contents = self.lock();
         if let Some(durable) = contents.durable.take() {
@@ -46,15 +49,14 @@
         contents.fault = Fault::None;
     }
 
-    /// Changes the value of a key behind the back of whoever uses the store, as rot does; tells if there is
-    /// one.
+    /// Changes a stored value as silent data corruption would. Returns whether the key exists.
     pub fn corrupt(&self, key: &[u8], change: impl FnOnce(&mut Vec<u8>)) -> bool {
         self.lock().live.get_mut(key).map(change).is_some()
     }
 
-    /// How many puts were tried.
+    /// Number of writes that were tried.
     pub fn put_count(&self) -> u64 {
-        self.lock().puts
+        self.lock().put_count
     }
 
     fn lock(&self) -> MutexGuard<'_, Contents> {
@@ -65,14 +67,14 @@
 impl Store for MemoryStore {
     fn put(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let mut contents = self.lock();
-        contents.puts += 1;
-        let error = || Err(StoreError::Failed { doing: "writing", why: "as the test asked".into() });
+        contents.put_count += 1;
+        let injected_error = || Err(StoreError::Failed { doing: "writing", why: "as the test asked".into() });
         match contents.fault {
-            Fault::Refuse => return error(),
+            Fault::Refuse => return injected_error(),
             Fault::Unsynced | Fault::Lying if contents.durable.is_none() => {
                 contents.durable = Some(contents.live.clone());
             }
-            // A put that is durable makes all before it so.
+            // A durable write makes all earlier ones durable.
             Fault::None => contents.durable = None,
             Fault::Unsynced | Fault::Lying => {}
         }
@@ -89,7 +91,7 @@
                 }
             }
         }
-        if contents.fault == Fault::Unsynced { error() } else { Ok(()) }
+        if contents.fault == Fault::Unsynced { injected_error() } else { Ok(()) }
     }
 
     fn scan(&mut self, from: &[u8], until: &[u8]) -> Result<Pairs, StoreError> {
--- a/crates/transport/src/memory_transport.rs
+++ b/crates/transport/src/memory_transport.rs
@@ -1,4 +1,4 @@
-//! Memory post (transport for tests): places in one hall, with losses by a seed.
+//! In-memory transport for tests: nodes attached to one network that loses messages by a seed.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,71 +10,79 @@
 
 use crate::{MessageReceiver, ReceivedMessage, Transport};
 
-/// Messages that wait at one place; more are dropped.
-const ARRIVED: usize = 256;
+/// Most messages that wait at one node; further ones are dropped.
+const MAX_UNDELIVERED_MESSAGES: usize = 256;
 
 #[derive(Debug)]
-struct Hall {
-    places: HashMap<Ipv4Addr, mpsc::Sender<ReceivedMessage>>,
-    /// How many of a thousand messages are lost.
-    lost: u64,
-    chance: u64,
-    longest: usize,
+struct Network {
+    nodes: HashMap<Ipv4Addr, mpsc::Sender<ReceivedMessage>>,
+    /// How many of a thousand datagrams are lost.
+    loss_per_thousand: u64,
+    rng_state: u64,
+    max_message_bytes: usize,
 }
 
-/// Where memory posts meet. Clones are the same hall.
+/// Network that connects in-memory transports. Clones refer to the same network.
 #[derive(Clone, Debug)]
-pub struct MemoryNetwork(Rc<RefCell<Hall>>);
+pub struct MemoryNetwork(Rc<RefCell<Network>>);
 
 impl MemoryNetwork {
-    /// `lost` of a thousand messages do not arrive, by the seed; none over `longest` bytes does.
-    pub fn new(seed: u64, lost: u64, longest: usize) -> Self {
-        Self(Rc::new(RefCell::new(Hall { places: HashMap::new(), lost, chance: seed, longest })))
+    /// A network that loses `loss_per_thousand` of a thousand datagrams, chosen by the seed, and each message
+    /// longer than `max_message_bytes`.
+    pub fn new(seed: u64, loss_per_thousand: u64, max_message_bytes: usize) -> Self {
+        Self(Rc::new(RefCell::new(Network {
+            nodes: HashMap::new(),
+            loss_per_thousand,
+            rng_state: seed,
+            max_message_bytes,
+        })))
     }
 
-    /// A post at a place; one that was there before hears nothing more.
-    pub fn attach(&self, own: Ipv4Addr) -> (MemoryTransport, MessageReceiver) {
-        let (sender, receiver) = mpsc::channel(ARRIVED);
-        self.0.borrow_mut().places.insert(own, sender);
-        (MemoryTransport { own, hall: self.clone() }, receiver)
+    /// Attaches a node at an address. A node that was attached there before receives nothing more.
+    pub fn attach(&self, own_address: Ipv4Addr) -> (MemoryTransport, MessageReceiver) {
+        let (sender, receiver) = mpsc::channel(MAX_UNDELIVERED_MESSAGES);
+        self.0.borrow_mut().nodes.insert(own_address, sender);
+        (MemoryTransport { own_address, network: self.clone() }, receiver)
     }
 }
 
-/// A place in a hall.
+/// Transport of one node of a [`MemoryNetwork`].
 #[derive(Clone, Debug)]
 pub struct MemoryTransport {
-    own: Ipv4Addr,
-    hall: MemoryNetwork,
+    own_address: Ipv4Addr,
+    network: MemoryNetwork,
 }
 
 impl Transport for MemoryTransport {
     fn send(&self, to: Ipv4Addr, bytes: Vec<u8>) {
-        let mut hall = self.hall.0.borrow_mut();
-        let lost = hall.draw() % 1_000 < hall.lost;
-        if lost || bytes.len() > hall.longest {
+        let mut network = self.network.0.borrow_mut();
+        let lost = network.next_random() % 1_000 < network.loss_per_thousand;
+        if lost || bytes.len() > network.max_message_bytes {
             return;
         }
-        if let Some(place) = hall.places.get(&to) {
-            // Full or gone: lost, as on the way.
-            let _ = place.try_send(ReceivedMessage { from: self.own, bytes, carrier: Carrier::Datagram });
+        if let Some(node) = network.nodes.get(&to) {
+            // A node whose queue is full or that is gone loses the message, as a network would.
+            let message = ReceivedMessage { from: self.own_address, bytes, carrier: Carrier::Datagram };
+            let _ = node.try_send(message);
         }
     }
 
     fn send_by_stream(&self, to: Ipv4Addr, bytes: Vec<u8>) {
-        let hall = self.hall.0.borrow();
-        if bytes.len() <= hall.longest
-            && let Some(place) = hall.places.get(&to)
+        let network = self.network.0.borrow();
+        if bytes.len() <= network.max_message_bytes
+            && let Some(node) = network.nodes.get(&to)
         {
-            let _ = place.try_send(ReceivedMessage { from: self.own, bytes, carrier: Carrier::Stream });
+            let message = ReceivedMessage { from: self.own_address, bytes, carrier: Carrier::Stream };
+            let _ = node.try_send(message);
         }
     }
 }
 
-impl Hall {
-    /// The next number of a splitmix sequence.
-    fn draw(&mut self) -> u64 {
-        self.chance = self.chance.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mixed = (self.chance ^ (self.chance >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+impl Network {
+    /// The next number of a splitmix64 generator.
+    fn next_random(&mut self) -> u64 {
+        self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.rng_state ^ (self.rng_state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^ (mixed >> 31)
     }
--- a/crates/transport/src/outgoing.rs
+++ b/crates/transport/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! Long messages on their way out: one stream a peer, made on demand, and a bounded queue before it.
+//! Sending side for long messages: one stream to each peer, opened on demand, with a bounded queue.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -15,10 +15,10 @@
 
 use crate::socket_transport::TransportLimits;
 
-/// Operators filter log lines by this name, which is older than the package's.
+/// Operators filter log lines by this target, which is older than the package's name.
 const LOG_TARGET: &str = "wings::outgoing";
 
-/// What waits for one peer, each with its length before it.
+/// Messages waiting for one peer, each preceded by its length.
 #[derive(Default)]
 struct Queue {
     frames: VecDeque<Vec<u8>>,
@@ -27,28 +27,30 @@
 
 struct Peer {
     queue: Rc<RefCell<Queue>>,
-    more: Rc<Notify>,
+    queued: Rc<Notify>,
     task: JoinHandle<()>,
 }
 
+/// Streams to all peers.
 pub(crate) struct Outgoing {
-    own: Ipv4Addr,
+    own_address: Ipv4Addr,
     port: u16,
     limits: TransportLimits,
     peers: RefCell<HashMap<Ipv4Addr, Peer>>,
 }
 
 impl Outgoing {
-    pub(crate) fn new(own: Ipv4Addr, port: u16, limits: TransportLimits) -> Self {
-        Self { own, port, limits, peers: RefCell::default() }
+    pub(crate) fn new(own_address: Ipv4Addr, port: u16, limits: TransportLimits) -> Self {
+        Self { own_address, port, limits, peers: RefCell::default() }
     }
 
+    /// Queues a message, and opens a stream if there is none. Drops it if there are too many peers.
     pub(crate) fn send(&self, to: Ipv4Addr, bytes: &[u8]) {
         let mut frame = Vec::with_capacity(4 + bytes.len());
         frame.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
         frame.extend_from_slice(bytes);
         let mut peers = self.peers.borrow_mut();
-        // A task that has ended leaves nothing in its queue.
+        // A task that has ended has left nothing in its queue.
         peers.retain(|_, peer| !peer.task.is_finished());
         if !peers.contains_key(&to) && peers.len() >= self.limits.max_peers {
             log::warn!(target: LOG_TARGET, "message to {to} dropped: too many peers");
@@ -56,20 +58,20 @@
         }
         let peer = peers.entry(to).or_insert_with(|| self.start(to));
         peer.queue.borrow_mut().push(frame, self.limits.max_queue_bytes);
-        peer.more.notify_one();
+        peer.queued.notify_one();
     }
 
     fn start(&self, to: Ipv4Addr) -> Peer {
         let queue = Rc::new(RefCell::new(Queue::default()));
-        let more = Rc::new(Notify::new());
-        let line = Line {
-            own: self.own,
+        let queued = Rc::new(Notify::new());
+        let stream = PeerStream {
+            own_address: self.own_address,
             to: SocketAddrV4::new(to, self.port),
             limits: self.limits,
             queue: queue.clone(),
-            more: more.clone(),
+            queued: queued.clone(),
         };
-        Peer { queue, more, task: tokio::task::spawn_local(line.run()) }
+        Peer { queue, queued, task: tokio::task::spawn_local(stream.run()) }
     }
 }
 
@@ -82,9 +84,9 @@
 }
 
 impl Queue {
-    /// The oldest go when there is too much; the newest is always kept.
-    fn push(&mut self, frame: Vec<u8>, most: usize) {
-        while self.bytes + frame.len() > most {
+    /// Adds a message. The oldest ones are dropped to stay within `max_bytes`; the newest is always kept.
+    fn push(&mut self, frame: Vec<u8>, max_bytes: usize) {
+        while self.bytes + frame.len() > max_bytes {
             match self.frames.pop_front() {
                 Some(oldest) => self.bytes -= oldest.len(),
                 None => break,
@@ -106,31 +108,32 @@
     }
 }
 
-/// Why a stream came to its end.
-enum End {
-    /// Nothing to send for long.
+/// Why a stream ended.
+enum StreamEnd {
+    /// There was nothing to send for the idle timeout.
     Idle,
-    /// The peer closed it, or it broke while `unsent` was not wholly written.
-    Broken { unsent: Option<Vec<u8>>, useful: bool },
-    /// The peer does not take what is sent.
+    /// The peer closed the stream, or it broke before `unsent` was completely written. `sent_any` tells if at
+    /// least one message was written.
+    Broken { unsent: Option<Vec<u8>>, sent_any: bool },
+    /// The peer does not read.
     Stalled,
 }
 
-/// The way to one peer.
-struct Line {
-    own: Ipv4Addr,
+/// Task that sends the queue of one peer.
+struct PeerStream {
+    own_address: Ipv4Addr,
     to: SocketAddrV4,
     limits: TransportLimits,
     queue: Rc<RefCell<Queue>>,
-    more: Rc<Notify>,
+    queued: Rc<Notify>,
 }
 
-impl Line {
-    /// Sends what is in the queue until there is nothing for long, or the peer can't be reached; then what
-    /// still waits is dropped, since whoever sent it asks again with newer words.
+impl PeerStream {
+    /// Sends the queue until nothing has been queued for the idle timeout or the peer can't be reached.
+    /// Messages that still wait are then dropped, since their senders retry with newer ones.
     async fn run(self) {
         let mut unsent = None;
-        let mut broken_in_a_row = 0;
+        let mut breaks_without_progress = 0;
         loop {
             let stream = match self.connect().await {
                 Ok(stream) => stream,
@@ -139,13 +142,13 @@
                     break;
                 }
             };
-            match self.feed(stream, unsent.take()).await {
-                End::Idle => return,
-                End::Stalled => break,
-                // A frame that was not wholly written has not arrived, so it may be sent again.
-                End::Broken { unsent: frame, useful } => {
-                    broken_in_a_row = if useful { 0 } else { broken_in_a_row + 1 };
-                    if broken_in_a_row > 1 {
+            match self.send_queue(stream, unsent.take()).await {
+                StreamEnd::Idle => return,
+                StreamEnd::Stalled => break,
+                // A message that was not completely written has not arrived, so it may be sent again.
+                StreamEnd::Broken { unsent: frame, sent_any } => {
+                    breaks_without_progress = if sent_any { 0 } else { breaks_without_progress + 1 };
+                    if breaks_without_progress > 1 {
                         break;
                     }
                     if frame.is_none() && self.queue.borrow().frames.is_empty() {
@@ -160,36 +163,36 @@
 
     async fn connect(&self) -> io::Result<TcpStream> {
         let socket = TcpSocket::new_v4()?;
-        // The peer tells who speaks by the address.
-        socket.bind(SocketAddrV4::new(self.own, 0).into())?;
+        // The peer identifies the sender by its address.
+        socket.bind(SocketAddrV4::new(self.own_address, 0).into())?;
         socket.set_nodelay(true)?;
         SockRef::from(&socket).set_tcp_user_timeout(Some(self.limits.write_timeout))?;
         timeout(self.limits.connect_timeout, socket.connect(self.to.into())).await?
     }
 
-    async fn feed(&self, mut stream: TcpStream, mut unsent: Option<Vec<u8>>) -> End {
-        let mut useful = false;
+    async fn send_queue(&self, mut stream: TcpStream, mut unsent: Option<Vec<u8>>) -> StreamEnd {
+        let mut sent_any = false;
         loop {
             let next = unsent.take().or_else(|| self.queue.borrow_mut().pop());
             let Some(frame) = next else {
-                // Peers say nothing on this stream, so that anything to read is its end.
+                // Peers send nothing on this stream, so anything to read means that it ended.
                 tokio::select! {
                     biased;
-                    () = self.more.notified() => {}
-                    _ = stream.read_u8() => return End::Broken { unsent: None, useful },
-                    () = tokio::time::sleep(self.limits.idle_timeout) => return End::Idle,
+                    () = self.queued.notified() => {}
+                    _ = stream.read_u8() => return StreamEnd::Broken { unsent: None, sent_any },
+                    () = tokio::time::sleep(self.limits.idle_timeout) => return StreamEnd::Idle,
                 }
                 continue;
             };
-            let mut left = &frame[..];
-            while !left.is_empty() {
-                match timeout(self.limits.write_timeout, stream.write(left)).await {
-                    Ok(Ok(written)) if written > 0 => left = &left[written..],
-                    Ok(_) => return End::Broken { unsent: Some(frame), useful },
-                    Err(_) => return End::Stalled,
+            let mut remaining = &frame[..];
+            while !remaining.is_empty() {
+                match timeout(self.limits.write_timeout, stream.write(remaining)).await {
+                    Ok(Ok(written)) if written > 0 => remaining = &remaining[written..],
+                    Ok(_) => return StreamEnd::Broken { unsent: Some(frame), sent_any },
+                    Err(_) => return StreamEnd::Stalled,
                 }
             }
-            useful = true;
+            sent_any = true;
         }
     }
 }
--- a/crates/transport/src/socket_transport.rs
+++ b/crates/transport/src/socket_transport.rs
@@ -1,4 +1,5 @@
-//! SocketTransport (network transport): short messages by datagram, long ones by a stream to the same port number.
+//! Network transport: short messages go by datagram (UDP), long ones by a stream (TCP) to the same port
+//! number.
 
 use std::fmt;
 use std::io;
@@ -11,37 +12,41 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-use crate::incoming::{self, Door};
+use crate::incoming::{self, StreamListener};
 use crate::outgoing::Outgoing;
 use crate::stats::{Counters, TransportStats};
 use crate::{MessageReceiver, Transport};
 
-/// Operators filter log lines by this name, which is older than the package's.
+/// Operators filter log lines by this target, which is older than the module's name.
 const LOG_TARGET: &str = "wings::post";
 
-/// Bounds of a post; sizes in bytes.
+const LISTEN_BACKLOG: i32 = 128;
+
+/// Limits and timeouts of a [`SocketTransport`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransportLimits {
-    /// Messages up to this long go by datagram.
+    /// Messages up to this length go by datagram.
     pub max_datagram_bytes: usize,
     /// Longer messages are dropped, and a stream that announces one is closed.
     pub max_message_bytes: usize,
-    /// What may wait for one peer; the oldest go when it is more.
+    /// Most bytes that wait to be sent to one peer; beyond that, the oldest messages are dropped.
     pub max_queue_bytes: usize,
-    /// Peers that long messages go to at one time.
+    /// Most peers that long messages are sent to at one time.
     pub max_peers: usize,
-    /// Streams from others at one time.
+    /// Most streams from other nodes at one time.
     pub max_incoming_streams: usize,
-    /// Long messages being read at one time, in all streams together.
+    /// Most bytes of long messages being read at one time, on all streams together.
     pub max_reading_bytes: usize,
-    /// Messages that wait for the receiver's owner; datagrams beyond are dropped, streams wait.
+    /// Most messages that wait for the owner of the receiver; beyond that, datagrams are dropped and streams
+    /// wait.
     pub max_undelivered_messages: usize,
     pub connect_timeout: Duration,
-    /// A write that makes no progress for so long drops the stream and what waits for it.
+    /// A stream on which a write makes no progress for this long is dropped with the messages that wait for
+    /// it.
     pub write_timeout: Duration,
-    /// An outgoing stream without use is closed after this; an incoming one after twice as long.
+    /// An outgoing stream is closed after this long without use, an incoming one after twice as long.
     pub idle_timeout: Duration,
-    /// A message that takes longer to come in, beside 10 µs for each of its bytes, drops its stream.
+    /// A stream is dropped if one of its messages takes longer to arrive than this and 10 µs for each byte.
     pub frame_timeout: Duration,
 }
 
@@ -63,7 +68,7 @@
     }
 }
 
-/// The transport of one process. Clones share it; it ends with the last of them.
+/// The network transport of one process. Clones share it; dropping the last one closes it.
 #[derive(Clone)]
 pub struct SocketTransport(Rc<Inner>);
 
@@ -77,24 +82,30 @@
 }
 
 impl SocketTransport {
-    /// Binds `port` at this machine's address for datagrams and streams. To be called within a `LocalSet`.
-    pub fn bind(own: Ipv4Addr, port: u16, limits: TransportLimits) -> io::Result<(Self, MessageReceiver)> {
-        let at = SocketAddrV4::new(own, port);
-        let waits = |error: &io::Error| log::warn!(target: LOG_TARGET, "{error}; tried again");
-        let socket = garnetdoor_bind::when_free(at, || std::net::UdpSocket::bind(at), waits)?;
+    /// Binds `port` of `own_address` for datagrams and streams. Has to be called within a `LocalSet`.
+    pub fn bind(
+        own_address: Ipv4Addr, port: u16, limits: TransportLimits,
+    ) -> io::Result<(Self, MessageReceiver)> {
+        let address = SocketAddrV4::new(own_address, port);
+        let log_retry = |error: &io::Error| log::warn!(target: LOG_TARGET, "{error}; tried again");
+        let socket = garnetdoor_bind::when_free(address, || std::net::UdpSocket::bind(address), log_retry)?;
         socket.set_nonblocking(true)?;
         let socket = Rc::new(UdpSocket::from_std(socket)?);
-        let listener = garnetdoor_bind::when_free(at, || listen(at), waits)?;
-        let (arrived, receiver) = mpsc::channel(limits.max_undelivered_messages);
+        let listener = garnetdoor_bind::when_free(address, || listen(address), log_retry)?;
+        let (messages, receiver) = mpsc::channel(limits.max_undelivered_messages);
         let counters = Rc::new(Counters::default());
-        let datagrams =
-            incoming::datagrams(socket.clone(), arrived.clone(), limits.max_datagram_bytes, counters.clone());
-        let door = Door::new(listener, arrived, limits);
+        let datagrams = incoming::receive_datagrams(
+            socket.clone(),
+            messages.clone(),
+            limits.max_datagram_bytes,
+            counters.clone(),
+        );
+        let stream_listener = StreamListener::new(listener, messages, limits);
         let listeners = [
             tokio::task::spawn_local(datagrams).abort_handle(),
-            tokio::task::spawn_local(door.run()).abort_handle(),
+            tokio::task::spawn_local(stream_listener.run()).abort_handle(),
         ];
-        let outgoing = Outgoing::new(own, port, limits);
+        let outgoing = Outgoing::new(own_address, port, limits);
         Ok((Self(Rc::new(Inner { socket, port, limits, outgoing, counters, listeners })), receiver))
     }
 
@@ -102,12 +113,12 @@
         self.0.counters.stats()
     }
 
-    /// Sends without waiting: whole and once, or not at all.
+    /// Sends a message without waiting; it arrives complete and once, or not at all.
     pub fn send(&self, to: Ipv4Addr, bytes: Vec<u8>) {
         let inner = &*self.0;
         if bytes.len() <= inner.limits.max_datagram_bytes {
-            // Not by way of the runtime, which lets nothing out before it has heard of the socket. A datagram
-            // that the system won't take now is dropped like one that the network loses.
+            // Bypasses the runtime, which sends nothing before it has seen that the socket is writable. A
+            // datagram that the system does not accept now is dropped, like one that the network loses.
             let to = SocketAddrV4::new(to, inner.port);
             match SockRef::from(&*inner.socket).send_to(&bytes, &to.into()) {
                 Ok(_) => inner.counters.count(|stats| stats.datagrams_sent += 1),
@@ -121,7 +132,7 @@
         }
     }
 
-    /// As `send`, by a stream whatever its length.
+    /// Like `send`, but by a stream, whatever the length.
     pub fn send_by_stream(&self, to: Ipv4Addr, bytes: Vec<u8>) {
         let inner = &*self.0;
         if bytes.len() > inner.limits.max_message_bytes {
@@ -156,12 +167,12 @@
     }
 }
 
-fn listen(at: SocketAddrV4) -> io::Result<TcpListener> {
+fn listen(address: SocketAddrV4) -> io::Result<TcpListener> {
     let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
-    // A process that is started again must get its port although old streams linger.
+    // A restarted process must get its port although old connections linger.
     listener.set_reuse_address(true)?;
     listener.set_nonblocking(true)?;
-    listener.bind(&at.into())?;
-    listener.listen(128)?;
+    listener.bind(&address.into())?;
+    listener.listen(LISTEN_BACKLOG)?;
     TcpListener::from_std(listener.into())
 }
--- a/crates/transport/src/stats.rs
+++ b/crates/transport/src/stats.rs
@@ -1,20 +1,20 @@
-//! What a post has carried, for metrics.
+//! Counters of a socket transport, for metrics.
 
 use std::cell::Cell;
 
-/// Counts since the start.
+/// Counts since the start of the transport.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransportStats {
     pub datagrams_sent: u64,
-    /// Not taken by the operating system.
+    /// Datagrams that the operating system did not accept.
     pub datagrams_refused: u64,
     pub datagrams_received: u64,
-    /// Received, and dropped for want of room.
+    /// Datagrams that were received but dropped because the queue to the receiver was full.
     pub datagrams_dropped: u64,
     pub stream_messages_sent: u64,
 }
 
-/// The counts as the parts of a post keep them.
+/// The counters as shared by the tasks of a transport.
 #[derive(Debug, Default)]
 pub(crate) struct Counters(Cell<TransportStats>);
 
