--- a/crates/registry/src/instance_table.rs
+++ b/crates/registry/src/instance_table.rs
@@ -242,8 +242,8 @@
         if next.sequence < entry.latest_sequence
             || (next.service.is_empty() && !entry.known.service.is_empty())
         {
-            // Later heartbeats were received here, or the record comes from the detach of an instance that the
-            // sender did not know. The data here take precedence, except over a drain or an end.
+            // Later heartbeats were received here, or the record comes from the detach of an instance that
+            // the sender did not know. The data here take precedence, except over a drain or an end.
             let (state, state_since) = (next.state, next.state_since);
             next = entry.known.clone();
             next.sequence = entry.latest_sequence;
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -257,7 +257,7 @@
 /// Output of [`Registry::step`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// For a while, messages to this node should go by stream and not by datagram, as `replication` asks too.
+    /// Datagrams to this node seem to get lost: for a while, messages to it should go by stream.
     PreferStream {
         to: NodeAddress,
     },
@@ -270,8 +270,8 @@
         call: CallId,
         target: Option<NodeAddress>,
     },
-    /// Too few others learned of it in time, or the call was out of bounds; the instance should ask another
-    /// node.
+    /// Too few others learned of the drain in time, or this node can't take the call: it is out of bounds,
+    /// the table is full, or the node is isolated or was paused. The instance should ask another node.
     Rejected {
         call: CallId,
     },
--- a/crates/registry/src/node.rs
+++ b/crates/registry/src/node.rs
@@ -34,7 +34,8 @@
 const INITIAL_REQUEST_INTERVAL: Micros = 250 * MS;
 /// How many times it asks.
 const INITIAL_REQUESTS: u32 = 12;
-/// How often a registry node looks for silent instances.
+/// How often a registry node looks for silent instances. A gateway only drops expired entries, a quarter as
+/// often.
 const SWEEP_INTERVAL: Micros = 250 * MS;
 /// A step that comes this long after the previous one means that the process was paused: it can't tell who
 /// was silent meanwhile.
@@ -309,6 +310,7 @@
         self.update_majority(now);
     }
 
+    /// Notes since when no majority of the voters has been up.
     fn update_majority(&mut self, now: Micros) {
         let is_up = |voter: &&NodeAddress| **voter == self.own_address || self.registry_nodes.contains(voter);
         let majority_down = 2 * self.voters.iter().filter(is_up).count() <= self.voters.len();
@@ -686,7 +688,8 @@
         self.timing.silence_timeout * if sees_minority { 3 } else { 1 } + rank * ABSENT_OWNER_STAGGER
     }
 
-    /// Chooses a registry node to take over an instance if this node owns far more than its share.
+    /// Chooses a registry node to take over an instance if this node owns far more than its share: half as
+    /// much again, and at least 2 more.
     fn choose_rebalance_target(&mut self) {
         self.rebalance_target = None;
         let mut loads: IndexMap<NodeAddress, usize> =
--- a/crates/registry/src/node/comparison.rs
+++ b/crates/registry/src/node/comparison.rs
@@ -34,6 +34,8 @@
 const NO_DIFFERENCE: Message = Message::Versions { complete_ranges: 0, versions: Vec::new() };
 
 impl Registry {
+    /// Answers a comparison with the versions in the ranges that differ, or with all records for an empty
+    /// node.
     pub(super) fn digest_received(
         &mut self, now: Micros, from: NodeAddress, sums: &[u64; DIGEST_RANGES], empty: bool,
         out: &mut Vec<Effect>,
@@ -73,6 +75,8 @@
         }
     }
 
+    /// Sends the records that the other node lacks or has in an older version, and requests those that are
+    /// newer there.
     pub(super) fn versions_received(
         &mut self, now: Micros, from: NodeAddress, complete_ranges: u16, versions: &[RecordVersion],
         out: &mut Vec<Effect>,
