--- a/crates/control-state/src/verdict.rs
+++ b/crates/control-state/src/verdict.rs
@@ -15,6 +15,8 @@
 
 // Limits on what is kept: several times the largest deployment, so that wrong numbers or addresses cannot fill the
 // memory.
+
+/// Trials, one per service.
 const MAX_TRIALS: usize = 256;
 /// Gateways of one trial.
 const MAX_GATEWAYS: usize = 1024;
@@ -192,6 +194,7 @@
     counted: BTreeMap<Option<u32>, CountedOutcomes>,
 }
 
+/// The votes and statistics of one trial.
 #[derive(Clone, Debug)]
 struct Trial {
     build_number: u32,
@@ -337,6 +340,7 @@
         }
     }
 
+    /// Records a gateway's vote, unless it is older than the recorded one.
     fn record(&mut self, settings: &VerdictSettings, now: Micros, gateway: NodeAddress, vote: Vote) {
         self.last_vote_at = now;
         if self.gateways.len() >= MAX_GATEWAYS && !self.gateways.contains_key(&gateway) {
@@ -390,6 +394,7 @@
         }
     }
 
+    /// Notes that the joint statistics contain what a gateway reported for a route.
     fn mark_counted(&mut self, gateway: NodeAddress, route: Option<u32>, reported: CountedOutcomes) {
         let Some(record) = self.gateways.get_mut(&gateway) else { return };
         if record.counted.len() <= MAX_ROUTES || record.counted.contains_key(&route) {
@@ -454,58 +459,82 @@
         self.joint_statistics.values().map(from_others).fold(0.0, f64::max)
     }
 
+    /// The largest height of a joint statistic with enough outcomes for an alarm.
+    fn alarm_height(&self, settings: &VerdictSettings) -> f64 {
+        let with_enough_outcomes = self
+            .joint_statistics
+            .values()
+            .filter(|statistic| statistic.trial_outcomes >= settings.min_joint_outcomes);
+        with_enough_outcomes.map(|statistic| statistic.height).fold(0.0, f64::max)
+    }
+
+    /// The largest height of any joint statistic.
+    fn max_height(&self) -> f64 {
+        self.joint_statistics.values().map(|statistic| statistic.height).fold(0.0, f64::max)
+    }
+
+    /// The largest sum without a floor of any joint statistic; minus infinity without statistics.
+    fn max_unfloored_sum(&self) -> f64 {
+        let sums = self.joint_statistics.values().map(|statistic| statistic.unfloored_sum);
+        sums.fold(f64::NEG_INFINITY, f64::max)
+    }
+
     /// Whether the trial ends now, and if so, whether the version on trial is completed (`true`) or rolled back.
     fn verdict(
         &mut self, settings: &VerdictSettings, now: Micros, rollout: &Rollout, gateways_up: usize,
     ) -> Option<bool> {
         let totals = self.totals(settings, now);
-        let with_enough_outcomes = self
-            .joint_statistics
-            .values()
-            .filter(|statistic| statistic.trial_outcomes >= settings.min_joint_outcomes);
-        let alarm_height = with_enough_outcomes.map(|statistic| statistic.height).fold(0.0, f64::max);
         let backing_nats = self.backing_nats(settings, now);
-        if must_roll_back(settings, &totals, alarm_height, backing_nats, gateways_up) {
+        if must_roll_back(settings, &totals, self.alarm_height(settings), backing_nats, gateways_up) {
             return Some(false);
         }
-        let height = self.joint_statistics.values().map(|statistic| statistic.height).fold(0.0, f64::max);
-        let sums = self.joint_statistics.values().map(|statistic| statistic.unfloored_sum);
-        let unfloored_sum = sums.fold(f64::NEG_INFINITY, f64::max);
-        let in_doubt = totals.roll_back_votes > 0
-            || height >= settings.joint_doubt_threshold_nats
-            || unfloored_sum > 0.0;
-        self.clear_since = if in_doubt { None } else { Some(self.clear_since.unwrap_or(now)) };
+        self.update_clear_since(settings, now, &totals);
         let elapsed = totals.order_age.max(now - rollout.state_since);
         let period_fraction = elapsed as f64 / rollout.period.max(MS) as f64;
-        let is_final = period_fraction >= settings.final_decision_fraction;
-        if is_final
-            && (totals.roll_back_votes > 0
-                || height >= settings.joint_final_threshold_nats
-                || unfloored_sum >= settings.joint_doubt_threshold_nats)
-        {
-            // A version that was not cleared within its period is rolled back: after a completion, the old instances
-            // are stopped for good.
+        if period_fraction >= settings.final_decision_fraction && self.is_not_cleared(settings, &totals) {
+            // After a completion, the old instances are stopped for good.
             return Some(false);
         }
+        let is_clear = self.clear_since.is_some_and(|since| now - since >= settings.clear_duration);
+        (is_clear && has_support(settings, &totals, period_fraction, gateways_up)).then_some(true)
+    }
+
+    /// Updates since when nothing prevents completion.
+    fn update_clear_since(&mut self, settings: &VerdictSettings, now: Micros, totals: &TrialTotals) {
+        let in_doubt = totals.roll_back_votes > 0
+            || self.max_height() >= settings.joint_doubt_threshold_nats
+            || self.max_unfloored_sum() > 0.0;
+        self.clear_since = if in_doubt { None } else { Some(self.clear_since.unwrap_or(now)) };
+    }
+
+    /// Whether the version must be rolled back at the end of its period, since it was not cleared by then.
+    fn is_not_cleared(&self, settings: &VerdictSettings, totals: &TrialTotals) -> bool {
+        if totals.roll_back_votes > 0
+            || self.max_height() >= settings.joint_final_threshold_nats
+            || self.max_unfloored_sum() >= settings.joint_doubt_threshold_nats
+        {
+            return true;
+        }
         // If failures cannot be compared with the version in service, or the outcomes are few, a tenth is too much.
         let no_comparison = totals.base_outcomes < settings.min_base_outcomes
             || totals.trial_outcomes < settings.min_trial_outcomes;
-        let tenth_failed = totals.trial_failures > 0 && totals.trial_failures * 10 >= totals.trial_outcomes;
-        if is_final && no_comparison && tenth_failed {
-            return Some(false);
-        }
-        let is_clear = self.clear_since.is_some_and(|since| now - since >= settings.clear_duration);
-        let has_support = if is_final {
-            // The end of the period alone does not clear a version that has had next to no requests; it waits for them.
-            let is_tried = totals.trial_outcomes >= settings.min_joint_outcomes
-                || period_fraction >= settings.untried_completion_periods;
-            is_tried && totals.promote_votes > 0 && totals.promote_votes * 2 >= gateways_up
-        } else {
-            period_fraction >= settings.early_completion_fraction
-                && totals.trial_outcomes >= settings.min_trial_outcomes
-                && totals.promote_votes * 2 > gateways_up
-        };
-        (is_clear && has_support).then_some(true)
+        no_comparison && totals.trial_failures > 0 && totals.trial_failures * 10 >= totals.trial_outcomes
+    }
+}
+
+/// Whether enough gateways vote to promote the version, by what is over of its period.
+fn has_support(
+    settings: &VerdictSettings, totals: &TrialTotals, period_fraction: f64, gateways_up: usize,
+) -> bool {
+    if period_fraction >= settings.final_decision_fraction {
+        // The end of the period alone does not clear a version that has had next to no requests; it waits for them.
+        let is_tried = totals.trial_outcomes >= settings.min_joint_outcomes
+            || period_fraction >= settings.untried_completion_periods;
+        is_tried && totals.promote_votes > 0 && totals.promote_votes * 2 >= gateways_up
+    } else {
+        period_fraction >= settings.early_completion_fraction
+            && totals.trial_outcomes >= settings.min_trial_outcomes
+            && totals.promote_votes * 2 > gateways_up
     }
 }
 
