--- a/crates/extras/src/sockets/part.rs
+++ b/crates/extras/src/sockets/part.rs
@@ -255,7 +255,7 @@
             Did::Trip { .. } | Did::Final { .. } => {}
         }
     }
-    let version = one.node.floor().and_then(|floor| floor.bill()).map(|bill| bill.version.0);
+    let version = one.node.floor().and_then(|floor| floor.configuration()).map(|bill| bill.version.0);
     if let Some(version) = version
         && one.in_force.last().is_none_or(|(last, _)| *last < version)
     {
--- a/crates/extras/src/world/callers.rs
+++ b/crates/extras/src/world/callers.rs
@@ -270,7 +270,7 @@
         if !order.left[at] || self.nodes[at].run == 0 {
             return;
         }
-        let holds = self.nodes[at].floor().and_then(|floor| floor.bill());
+        let holds = self.nodes[at].floor().and_then(|floor| floor.configuration());
         if holds.is_some_and(|bill| bill.version.0 >= order.version) {
             order.left[at] = false;
             order.waiting -= 1;
--- a/crates/playhouse/src/foyer/watch.rs
+++ b/crates/playhouse/src/gateway/activity.rs
@@ -1,4 +1,4 @@
-//! Watch (over a client's connection): tells idle, sending a head, and served apart, so that each has its own
+//! Activity (over a client's connection): tells idle, sending a head, and served apart, so that each has its own
 //! bound. hyper's own time for heads runs while a connection is idle too, and can't keep them apart.
 
 use std::cell::Cell;
@@ -16,48 +16,48 @@
 
 /// How long, and for how many bytes, a client that still sends what nobody wants is read after its answer.
 /// Closed with bytes unread, the connection would be reset, and the answer be lost with it.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 const LINGER_BYTES: usize = 4 << 20;
 
 /// What a connection is about, and since when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doing {
+pub enum Phase {
     Idle(Micros),
     /// Some of a request has come, and not its whole head.
-    Head(Micros),
-    Served,
+    ReadingHead(Micros),
+    Serving,
 }
 
 /// Shared between the connection's bytes, its service and the task that ends it.
 #[derive(Clone)]
-pub struct Watch {
+pub struct Activity {
     clock: Clock,
-    doing: Rc<Cell<Doing>>,
+    phase: Rc<Cell<Phase>>,
     /// Since when the client has taken nothing of what is to be written.
-    stuck: Rc<Cell<Option<Micros>>>,
+    write_blocked_since: Rc<Cell<Option<Micros>>>,
     /// Some of the request's body has not been read. Bodies, which tell it, must be `Send`.
     unread: Arc<AtomicBool>,
 }
 
 /// What is due of a connection that is watched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum NextAction {
     /// Nothing before this.
-    At(Micros),
+    CheckAt(Micros),
     /// It has been idle for too long: it may end.
-    End,
+    Close,
     /// A head has taken too long, or a client takes nothing of its answer: it is cut, to hold nothing.
-    Cut,
+    Abort,
 }
 
-impl Watch {
-    pub fn start(clock: Clock) -> Watch {
-        let doing = Rc::new(Cell::new(Doing::Idle(clock.now())));
-        Watch { clock, doing, stuck: Rc::default(), unread: Arc::default() }
+impl Activity {
+    pub fn start(clock: Clock) -> Activity {
+        let phase = Rc::new(Cell::new(Phase::Idle(clock.now())));
+        Activity { clock, phase, write_blocked_since: Rc::default(), unread: Arc::default() }
     }
 
-    pub fn doing(&self) -> Doing {
-        self.doing.get()
+    pub fn phase(&self) -> Phase {
+        self.phase.get()
     }
 
     /// Whether some of the request's body is unread; shared with the body.
@@ -66,26 +66,26 @@
     }
 
     /// A whole head has been read, or its answer is done.
-    pub fn served(&self, done: bool) {
-        self.doing.set(if done { Doing::Idle(self.clock.now()) } else { Doing::Served });
+    pub fn request_served(&self, done: bool) {
+        self.phase.set(if done { Phase::Idle(self.clock.now()) } else { Phase::Serving });
     }
 
     /// Some bytes have come.
-    pub fn bytes_came(&self) {
-        if let Doing::Idle(_) = self.doing.get() {
-            self.doing.set(Doing::Head(self.clock.now()));
+    pub fn bytes_received(&self) {
+        if let Phase::Idle(_) = self.phase.get() {
+            self.phase.set(Phase::ReadingHead(self.clock.now()));
         }
     }
 
     /// Some of what is to be written could go out, or nothing of it.
-    pub fn wrote(&self, some: bool) {
-        match (some, self.stuck.get()) {
-            (false, None) => self.stuck.set(Some(self.clock.now())),
+    pub fn write_progress(&self, progressed: bool) {
+        match (progressed, self.write_blocked_since.get()) {
+            (false, None) => self.write_blocked_since.set(Some(self.clock.now())),
             (true, Some(_)) => {
-                self.stuck.set(None);
+                self.write_blocked_since.set(None);
                 // What came of the next head meanwhile was not waited for.
-                if let Doing::Head(_) = self.doing.get() {
-                    self.doing.set(Doing::Head(self.clock.now()));
+                if let Phase::ReadingHead(_) = self.phase.get() {
+                    self.phase.set(Phase::ReadingHead(self.clock.now()));
                 }
             }
             _ => {}
@@ -93,53 +93,57 @@
     }
 
     /// What is due now, by `head` and `idle` at most; a client that takes nothing has as long as an idle one.
-    pub fn due(&self, head: Micros, idle: Micros) -> Due {
+    pub fn next_action(&self, head_timeout: Micros, idle_timeout: Micros) -> NextAction {
         let now = self.clock.now();
-        if let Some(since) = self.stuck.get() {
-            return if now >= since + idle { Due::Cut } else { Due::At((since + idle).min(now + head)) };
+        if let Some(since) = self.write_blocked_since.get() {
+            return if now >= since + idle_timeout {
+                NextAction::Abort
+            } else {
+                NextAction::CheckAt((since + idle_timeout).min(now + head_timeout))
+            };
         }
-        match self.doing.get() {
-            Doing::Idle(since) if now >= since + idle => Due::End,
-            Doing::Head(since) if now >= since + head => Due::Cut,
+        match self.phase.get() {
+            Phase::Idle(since) if now >= since + idle_timeout => NextAction::Close,
+            Phase::ReadingHead(since) if now >= since + head_timeout => NextAction::Abort,
             // A head may begin at any moment while it is idle.
-            Doing::Idle(since) => Due::At((since + idle).min(now + head)),
-            Doing::Head(since) => Due::At(since + head),
-            Doing::Served => Due::At(now + head),
+            Phase::Idle(since) => NextAction::CheckAt((since + idle_timeout).min(now + head_timeout)),
+            Phase::ReadingHead(since) => NextAction::CheckAt(since + head_timeout),
+            Phase::Serving => NextAction::CheckAt(now + head_timeout),
         }
     }
 }
 
 /// A connection whose bytes are watched.
-pub struct Watched<T> {
+pub struct MonitoredIo<T> {
     io: T,
-    watch: Watch,
+    activity: Activity,
     /// Nothing more is written; until then, and for so many bytes more, the client is read.
-    lingers: Option<(Pin<Box<tokio::time::Sleep>>, usize)>,
+    linger: Option<(Pin<Box<tokio::time::Sleep>>, usize)>,
 }
 
-impl<T> Watched<T> {
-    pub fn new(io: T, watch: Watch) -> Watched<T> {
-        Watched { io, watch, lingers: None }
+impl<T> MonitoredIo<T> {
+    pub fn new(io: T, activity: Activity) -> MonitoredIo<T> {
+        MonitoredIo { io, activity, linger: None }
     }
 }
 
-impl<T: Read + Unpin> Read for Watched<T> {
+impl<T: Read + Unpin> Read for MonitoredIo<T> {
     fn poll_read(
         mut self: Pin<&mut Self>, context: &mut Context<'_>, buffer: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
         ready!(Pin::new(&mut self.io).poll_read(context, buffer))?;
-        self.watch.bytes_came();
+        self.activity.bytes_received();
         Poll::Ready(Ok(()))
     }
 }
 
-impl<T: Read + Write + Unpin> Write for Watched<T> {
+impl<T: Read + Write + Unpin> Write for MonitoredIo<T> {
     fn poll_write(
         mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
-        let wrote = Pin::new(&mut self.io).poll_write(context, bytes);
-        self.watch.wrote(wrote.is_ready());
-        wrote
+        let written = Pin::new(&mut self.io).poll_write(context, bytes);
+        self.activity.write_progress(written.is_ready());
+        written
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
@@ -147,23 +151,23 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        if self.lingers.is_none() {
+        if self.linger.is_none() {
             ready!(Pin::new(&mut self.io).poll_shutdown(context))?;
-            let head = matches!(self.watch.doing(), Doing::Head(_));
-            if !head && !self.watch.unread.load(Ordering::Relaxed) {
+            let reading_head = matches!(self.activity.phase(), Phase::ReadingHead(_));
+            if !reading_head && !self.activity.unread.load(Ordering::Relaxed) {
                 return Poll::Ready(Ok(()));
             }
         }
         let this = &mut *self;
-        let (until, left) =
-            this.lingers.get_or_insert_with(|| (Box::pin(tokio::time::sleep(LINGER)), LINGER_BYTES));
+        let (linger_until, bytes_left) =
+            this.linger.get_or_insert_with(|| (Box::pin(tokio::time::sleep(LINGER_TIMEOUT)), LINGER_BYTES));
         let mut bytes = [std::mem::MaybeUninit::uninit(); 4096];
-        while *left > 0 && until.as_mut().poll(context).is_pending() {
+        while *bytes_left > 0 && linger_until.as_mut().poll(context).is_pending() {
             let mut buffer = ReadBuf::uninit(&mut bytes);
             match Pin::new(&mut this.io).poll_read(context, buffer.unfilled()) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Ok(())) if !buffer.filled().is_empty() => {
-                    *left = left.saturating_sub(buffer.filled().len());
+                    *bytes_left = bytes_left.saturating_sub(buffer.filled().len());
                 }
                 Poll::Ready(_) => break,
             }
@@ -178,8 +182,8 @@
     fn poll_write_vectored(
         mut self: Pin<&mut Self>, context: &mut Context<'_>, parts: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
-        let wrote = Pin::new(&mut self.io).poll_write_vectored(context, parts);
-        self.watch.wrote(wrote.is_ready());
-        wrote
+        let written = Pin::new(&mut self.io).poll_write_vectored(context, parts);
+        self.activity.write_progress(written.is_ready());
+        written
     }
 }
--- a/crates/playhouse/src/foyer/exchange.rs
+++ b/crates/playhouse/src/gateway/connection_state.rs
@@ -3,68 +3,70 @@
 
 /// What a connection is. One exchange owns it at a time, and none gets it that is not proved empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ConnectionState {
     /// Nobody's. Whatever came on it so far was asked for and has been read.
     Idle,
     /// One exchange's, which has handed so many bytes to the kernel.
-    Lent { written: u64 },
+    InUse { written: u64 },
     /// Never used again.
     Closing,
 }
 
 /// What lies in a connection's socket, unread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
-    Nothing,
+pub enum SocketState {
+    Empty,
     /// An answer that nobody waits for, or part of one.
-    Bytes,
+    Readable,
     /// The other side has closed or reset it, or it can't be told.
-    Ended,
+    Closed,
 }
 
 /// How an exchange ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ExchangeEnd {
     /// Its request went out whole, its own answer came whole, nothing came behind it, and both sides keep the
     /// connection.
     Clean,
-    /// Anything else: given up, cancelled, out of time, reset, another's answer, more than an answer.
+    /// Anything else: balancer_settings up, cancelled, out of time, reset, another's answer, more than an answer.
     Broken,
 }
 
-impl State {
+impl ConnectionState {
     /// A connection that has just come up: nothing was ever asked on it.
-    pub const FRESH: State = State::Idle;
+    pub const NEW: ConnectionState = ConnectionState::Idle;
 
     /// Hands it out, where a look at the socket just now proves it empty.
     #[must_use]
-    pub fn lend(self, look: Look) -> State {
-        match (self, look) {
-            (State::Idle, Look::Nothing) => State::Lent { written: 0 },
-            _ => State::Closing,
+    pub fn acquire(self, socket: SocketState) -> ConnectionState {
+        match (self, socket) {
+            (ConnectionState::Idle, SocketState::Empty) => ConnectionState::InUse { written: 0 },
+            _ => ConnectionState::Closing,
         }
     }
 
     /// The kernel took so many bytes. What nobody was lent writes nothing.
     #[must_use]
-    pub fn wrote(self, bytes: usize) -> State {
+    pub fn bytes_written(self, bytes: usize) -> ConnectionState {
         match self {
-            State::Lent { written } => State::Lent { written: written.saturating_add(bytes as u64) },
-            State::Idle | State::Closing => State::Closing,
+            ConnectionState::InUse { written } => {
+                ConnectionState::InUse { written: written.saturating_add(bytes as u64) }
+            }
+            ConnectionState::Idle | ConnectionState::Closing => ConnectionState::Closing,
         }
     }
 
     /// The exchange is over. One that wrote nothing can't have an answer.
     #[must_use]
-    pub fn end(self, end: End) -> State {
+    pub fn finish(self, end: ExchangeEnd) -> ConnectionState {
         match (self, end) {
-            (State::Lent { written: 1.. }, End::Clean) => State::Idle,
-            _ => State::Closing,
+            (ConnectionState::InUse { written: 1.. }, ExchangeEnd::Clean) => ConnectionState::Idle,
+            _ => ConnectionState::Closing,
         }
     }
 
     /// Whether it is known that the other side has heard nothing of this exchange.
-    pub fn unheard(self) -> bool {
-        self == State::Lent { written: 0 }
+    pub fn is_unsent(self) -> bool {
+        self == ConnectionState::InUse { written: 0 }
     }
 }
--- /dev/null
+++ b/crates/playhouse/src/gateway/frontend.rs
@@ -0,0 +1,348 @@
+//! Front (what clients see of a gateway): connections, reading of requests, and answers.
+
+use std::cell::RefCell;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use garnetdoor::host::RequestId;
+use http_body_util::{BodyExt, Full};
+use hyper::body::{Body as _, Frame, Incoming, SizeHint};
+use hyper::header::{self, HeaderValue};
+use hyper::{Request, Response, StatusCode, Uri};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use simd_json::prelude::Writable;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use types::{Micros, SECOND};
+
+use super::activity::{Activity, MonitoredIo, NextAction, Phase};
+use super::attempt::{PrefixedBody, REMAINING_TIME, ReplayableRequest, is_chunked, strip_connection_headers};
+use super::client_connections::{ClientConnections, ConnectionSlot};
+use super::pool::{Body, BodyError};
+use super::{Reply, Shared, retry_after_seconds};
+
+// Operators filter log lines by this name, which is older than the module's.
+const LOG_TARGET: &str = "playhouse::foyer::front";
+
+/// A request's body up to this size is kept, so that it can go to another instance.
+const MAX_BUFFERED_BODY_BYTES: usize = 512 << 10;
+/// Client connections at once, of the descriptors that the machine has.
+const CLIENT_DESCRIPTOR_SHARE: f64 = 0.6;
+/// The kernel may have buffered connections, with requests on them, that are not known here when the listener is
+/// to close: so long they are still accepted, and then read.
+const FINAL_ACCEPT_WINDOW: Duration = Duration::from_millis(50);
+/// Before any configuration: bounds of a head and of idleness, and bytes of a head.
+const DEFAULT_TIMEOUTS: (Micros, Micros) = (3 * SECOND, 15 * SECOND);
+const DEFAULT_MAX_HEADER_BYTES: u64 = 16 << 10;
+const BODY_TOO_LARGE: &str = "{\"Error\":\"the body is over MaxBodyBytes\"}";
+
+/// Takes clients until told to stop; then ends idle connections and lets the others finish.
+pub async fn serve(
+    listener: TcpListener, shared: Shared, connections: Rc<ClientConnections>,
+    stopping: watch::Receiver<bool>,
+) {
+    let max_bytes =
+        (shared.borrow().settings.limit_set.fd_limit * CLIENT_DESCRIPTOR_SHARE).max(64.0) as usize;
+    let accept_client = async |stream| {
+        let activity = Activity::start(shared.borrow().clock);
+        // Without a slot it is closed unread, so that the client may go elsewhere.
+        if let Some(slot) = connections.enter(max_bytes, &activity).await {
+            crate::tasks::spawn_local(serve_connection(
+                stream,
+                shared.clone(),
+                activity,
+                slot,
+                stopping.clone(),
+            ));
+        }
+    };
+    let mut stop_signal = stopping.clone();
+    loop {
+        tokio::select! {
+            stream = crate::listen::accept(&listener) => accept_client(stream).await,
+            _ = stop_signal.changed() => break,
+        }
+    }
+    // Those that the kernel has buffered already would be reset.
+    let accept_rest = async {
+        loop {
+            accept_client(crate::listen::accept(&listener).await).await;
+        }
+    };
+    let _: Result<(), _> = tokio::time::timeout(FINAL_ACCEPT_WINDOW, accept_rest).await;
+}
+
+/// One client's connection, to its end.
+async fn serve_connection(
+    stream: TcpStream, shared: Shared, activity: Activity, slot: ConnectionSlot,
+    mut stopping: watch::Receiver<bool>,
+) {
+    let (clock, limits) = {
+        let gateway = shared.borrow();
+        (gateway.clock, gateway.data_plane.configuration().map(|configuration| configuration.limits))
+    };
+    let (head_timeout, idle_timeout) =
+        limits.map_or(DEFAULT_TIMEOUTS, |limits| (limits.header_timeout, limits.idle_timeout));
+    let header_bytes = limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes);
+    let service = hyper::service::service_fn(|request| {
+        let (shared, activity) = (shared.clone(), activity.clone());
+        activity.request_served(false);
+        async move {
+            let mut answer = answer(shared, request, &activity).await;
+            // A second less, so that a client that heeds it never meets the end.
+            if idle_timeout >= 3 * SECOND && !answer.headers().contains_key(header::CONNECTION) {
+                let keep_alive = format!("timeout={}", idle_timeout / SECOND - 1);
+                if let Ok(value) = HeaderValue::from_str(&keep_alive) {
+                    answer.headers_mut().insert("keep-alive", value);
+                }
+            }
+            Ok::<_, std::convert::Infallible>(answer.map(|body| AnswerBody { body, activity }))
+        }
+    });
+    let connection = hyper::server::conn::http1::Builder::new()
+        .timer(TokioTimer::new())
+        .header_read_timeout(None)
+        .max_header_size(header_bytes as usize)
+        .max_buf_size((header_bytes as usize).clamp(8192, 1 << 20))
+        .serve_connection(MonitoredIo::new(TokioIo::new(stream), activity.clone()), service);
+    let mut connection = std::pin::pin!(connection);
+    let (mut check_at, mut shutdown_begun, accepted_late) =
+        (clock.now() + head_timeout.min(idle_timeout), false, *stopping.borrow());
+    let ended = loop {
+        tokio::select! {
+            // First, so that a request that is there already is read before the end.
+            biased;
+            ended = connection.as_mut() => break ended,
+            () = async {
+                let _ = stopping.wait_for(|stop| *stop).await;
+                if accepted_late {
+                    tokio::time::sleep(FINAL_ACCEPT_WINDOW).await;
+                }
+            }, if !shutdown_begun => {
+                shutdown_begun = true;
+                connection.as_mut().graceful_shutdown();
+            }
+            () = slot.yield_requested.notified() => match activity.phase() {
+                Phase::Idle(_) => connection.as_mut().graceful_shutdown(),
+                Phase::ReadingHead(_) => break Ok(()),
+                Phase::Serving => {}
+            },
+            () = tokio::time::sleep_until(clock.at(check_at)) => match activity.next_action(head_timeout, idle_timeout) {
+                NextAction::CheckAt(next) => check_at = next,
+                NextAction::Close => {
+                    check_at = clock.now() + idle_timeout;
+                    connection.as_mut().graceful_shutdown();
+                }
+                NextAction::Abort => break Ok(()),
+            },
+        }
+    };
+    if let Err(error) = ended {
+        log::debug!(target: LOG_TARGET, "a client's connection ended: {error}");
+    }
+}
+
+/// An answer's body; its request is served until this is dropped.
+struct AnswerBody {
+    body: Body,
+    activity: Activity,
+}
+
+impl Drop for AnswerBody {
+    fn drop(&mut self) {
+        self.activity.request_served(true);
+    }
+}
+
+impl hyper::body::Body for AnswerBody {
+    type Data = Bytes;
+    type Error = BodyError;
+    fn poll_frame(
+        mut self: Pin<&mut Self>, context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        Pin::new(&mut self.body).poll_frame(context)
+    }
+    fn is_end_stream(&self) -> bool {
+        self.body.is_end_stream()
+    }
+    fn size_hint(&self) -> SizeHint {
+        self.body.size_hint()
+    }
+}
+
+/// A platform's connection that asks nothing is closed after this.
+const READINESS_HEAD_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// Answers the platform's question whether clients may be sent here.
+pub async fn readiness(listener: TcpListener, shared: Shared) {
+    let answer = move |request: Request<Incoming>| {
+        let answer = match request.uri().path() {
+            "/api/readiness" if shared.borrow().data_plane.ready() => plain(StatusCode::OK, "{}"),
+            "/api/readiness" => plain(StatusCode::SERVICE_UNAVAILABLE, "{}"),
+            "/api/status" => json(shared.borrow().data_plane.status().encode()),
+            _ => plain(StatusCode::NOT_FOUND, "{}"),
+        };
+        std::future::ready(answer)
+    };
+    crate::listen::serve(listener, READINESS_HEAD_TIMEOUT, answer).await;
+}
+
+fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
+    let body = Full::new(Bytes::from_static(text.as_bytes())).map_err(|never| match never {});
+    let mut answer = Response::new(body.boxed_unsync());
+    *answer.status_mut() = status;
+    answer.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    answer
+}
+
+fn json(text: String) -> Response<Body> {
+    let body = Full::new(Bytes::from(text)).map_err(|never| match never {});
+    let mut answer = Response::new(body.boxed_unsync());
+    answer.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    answer
+}
+
+fn rejected(retry_after: Option<Micros>) -> Response<Body> {
+    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "{}");
+    if let Ok(value) = HeaderValue::from_str(&retry_after_seconds(retry_after)) {
+        answer.headers_mut().insert(header::RETRY_AFTER, value);
+    }
+    answer
+}
+
+/// Tells the gateway when a client has gone before its answer, or has it.
+struct RequestGuard {
+    shared: Shared,
+    id: RequestId,
+}
+
+impl Drop for RequestGuard {
+    fn drop(&mut self) {
+        self.shared.borrow_mut().request_closed(&self.shared, self.id);
+    }
+}
+
+async fn answer(shared: Shared, request: Request<Incoming>, activity: &Activity) -> Response<Body> {
+    activity.unread().store(!request.body().is_end_stream(), Ordering::Relaxed);
+    let mut answer = respond(&shared, request, activity.unread()).await;
+    // Nothing can follow a body that was not read whole.
+    if shared.borrow().data_plane.leaving() || activity.unread().load(Ordering::Relaxed) {
+        answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    }
+    answer
+}
+
+/// Brings a request's target to the form that instances are asked in, a path and a query; where it named a
+/// host, that one holds (RFC 9112, 3.2.2). `None` where it can't be told what is asked.
+fn origin_form(head: &mut hyper::http::request::Parts) -> Option<()> {
+    if head.headers.get_all(header::HOST).iter().count() > 1 || head.method == hyper::Method::CONNECT {
+        return None;
+    }
+    if let Some(authority) = head.uri.authority() {
+        let host = authority.as_str().rsplit('@').next()?;
+        head.headers.insert(header::HOST, HeaderValue::from_str(host).ok()?);
+        let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
+        head.uri = path.parse::<Uri>().ok()?;
+    }
+    Some(())
+}
+
+async fn respond(shared: &Shared, request: Request<Incoming>, unread: &Arc<AtomicBool>) -> Response<Body> {
+    let (received_at, configuration, mut reservation) = {
+        let gateway = shared.borrow();
+        (gateway.clock.now(), gateway.data_plane.configuration().cloned(), gateway.body_budget.reservation())
+    };
+    let (mut head, mut body) = request.into_parts();
+    if is_chunked(&head.headers) == Some(false) || origin_form(&mut head).is_none() {
+        return plain(StatusCode::BAD_REQUEST, "{\"Error\":\"no target, or no body, that is clear\"}");
+    }
+    let remaining = head.headers.get(REMAINING_TIME).and_then(|value| value.to_str().ok());
+    let remaining =
+        remaining.and_then(|text| text.trim().parse::<f64>().ok()).filter(|left| left.is_finite());
+    let remaining = remaining.map(|ms| (ms.clamp(0.0, 1e9) * 1e3) as Micros);
+    let Some(configuration) = configuration else {
+        return rejected(Some(load::retry_after(remaining.unwrap_or(SECOND))));
+    };
+    let host = head.headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
+    let Some(route) = configuration.find_route(host, head.uri.path()) else {
+        return plain(StatusCode::NOT_FOUND, "{\"Error\":\"no route\"}");
+    };
+    let time_left = remaining.unwrap_or(route.timeout).min(route.timeout);
+    let deadline = received_at + time_left;
+    let max_bytes = configuration.limits.max_body_bytes;
+    if body.size_hint().lower() > max_bytes {
+        return plain(StatusCode::PAYLOAD_TOO_LARGE, BODY_TOO_LARGE);
+    }
+    let mut buffered = BytesMut::new();
+    let wait = Duration::from_micros(time_left.max(0) as u64);
+    let read = async {
+        while buffered.len() <= MAX_BUFFERED_BODY_BYTES && reservation.grow_to(buffered.capacity()) {
+            let Some(frame) = body.frame().await else { return Ok(true) };
+            if let Ok(data) = frame?.into_data() {
+                buffered.extend_from_slice(&data);
+            }
+        }
+        Ok::<_, hyper::Error>(false)
+    };
+    let streams = match tokio::time::timeout(wait, read).await {
+        Ok(Ok(whole)) => !whole,
+        Ok(Err(_)) => return plain(StatusCode::BAD_REQUEST, "{\"Error\":\"the body broke off\"}"),
+        Err(_) => {
+            return plain(StatusCode::REQUEST_TIMEOUT, "{\"Error\":\"the body did not come in time\"}");
+        }
+    };
+    if !streams || body.is_end_stream() {
+        unread.store(false, Ordering::Relaxed);
+    }
+    let Some(rest_bytes) = max_bytes.checked_sub(buffered.len() as u64) else {
+        return plain(StatusCode::PAYLOAD_TOO_LARGE, BODY_TOO_LARGE);
+    };
+    strip_connection_headers(&mut head.headers);
+    head.headers.remove(header::EXPECT);
+    let (buffered, too_large) = (reservation.keep(buffered), Arc::<AtomicBool>::default());
+    let stream = streams.then(|| {
+        let (first, unread) = (Some(buffered.clone()), unread.clone());
+        PrefixedBody { first, rest: body, bytes_left: rest_bytes, too_large: too_large.clone(), unread }
+            .boxed_unsync()
+    });
+    let original = ReplayableRequest {
+        method: head.method,
+        uri: head.uri,
+        headers: head.headers,
+        body: if streams { Bytes::new() } else { buffered },
+        stream: RefCell::new(stream),
+        is_streamed: streams,
+        tried: RefCell::default(),
+        idempotent: route.kind.is_idempotent(),
+    };
+    let Some(service) = pick_service(route) else { return rejected(Some(load::retry_after(time_left))) };
+    let (id, reply) = shared.borrow_mut().request_arrived(shared, service, route, original, deadline);
+    let _guard = RequestGuard { shared: shared.clone(), id };
+    match reply.await {
+        Ok(Reply::Answer(response)) => response,
+        Ok(Reply::Rejected(retry_after)) => rejected(retry_after),
+        _ if too_large.load(Ordering::Relaxed) => plain(StatusCode::PAYLOAD_TOO_LARGE, BODY_TOO_LARGE),
+        Ok(Reply::Failed) | Err(_) => plain(StatusCode::BAD_GATEWAY, "{\"Error\":\"no answer\"}"),
+    }
+}
+
+/// One of the route's services, by weight.
+fn pick_service(route: &configuration::Route) -> Option<&str> {
+    if let [only] = route.targets.as_slice() {
+        return Some(&only.service);
+    }
+    let total_weight: f64 = route.targets.iter().map(|target| target.weight).sum();
+    let mut remaining_weight = (crate::house::chance() >> 11) as f64 / (1u64 << 53) as f64 * total_weight;
+    for target in &route.targets {
+        if remaining_weight < target.weight {
+            return Some(&target.service);
+        }
+        remaining_weight -= target.weight;
+    }
+    route.targets.iter().rev().find(|target| target.weight > 0.0).map(|target| &*target.service)
+}
--- /dev/null
+++ b/crates/playhouse/src/gateway/mod.rs
@@ -0,0 +1,330 @@
+//! Gateway (data plane): takes requests from clients and has them answered by instances; which, whether and
+//! how often is decided in `garnetdoor`. A driver: sockets, timers, signals.
+
+#[doc(hidden)]
+pub mod activity;
+#[doc(hidden)]
+pub mod attempt;
+#[doc(hidden)]
+pub mod body_budget;
+mod client_connections;
+#[doc(hidden)]
+pub mod connection_state;
+mod frontend;
+#[doc(hidden)]
+pub mod pool;
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::time::Duration;
+
+use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
+use hyper::Response;
+use membership::Role;
+use tokio::sync::oneshot;
+use transport::{ReceivedMessage, SocketTransport};
+use types::{MS, Micros, NodeAddress, RunId, SECOND};
+
+use crate::data_plane::service_host::TargetInstance;
+use crate::data_plane::{DataPlane, Effect, Input};
+use crate::house::{Clock, House, chance};
+use crate::metrics::{self, Metrics, MetricsSource};
+use crate::post::send;
+use crate::settings::{Settings, micros};
+use crate::signals::{SignalEvent, Signals};
+use attempt::{Attempt, AttemptResult, ReplayableRequest};
+use body_budget::BodyBudget;
+use client_connections::ClientConnections;
+use pool::{Body, Pool};
+
+// Operators filter log lines by this name, which is older than the module's.
+const LOG_TARGET: &str = "playhouse::foyer";
+
+/// After SIGTERM the platform may still hand over clients until it has missed readiness twice.
+const ACCEPT_AFTER_LEAVE: Duration = Duration::from_millis(2_600);
+/// Of `GraceS`, so much is left for the end itself.
+const END_MARGIN: Duration = Duration::from_millis(700);
+/// Of that, so much for the last answers to leave.
+const FINAL_ANSWER_WINDOW: Duration = Duration::from_millis(400);
+const POOL_EVICTION_INTERVAL: Micros = SECOND;
+
+/// How a request ends_at.
+pub enum Reply {
+    Answer(Response<Body>),
+    /// Not run and never will be; with a time to come back.
+    Rejected(Option<Micros>),
+    /// Nothing is promised.
+    Failed,
+}
+
+/// A request that is open here.
+struct OpenRequest {
+    original: Rc<ReplayableRequest>,
+    deadline: Micros,
+    attempts: Vec<tokio::task::AbortHandle>,
+    reply_sender: Option<oneshot::Sender<Reply>>,
+    /// What an instance answered that failed: passed on if nothing better comes.
+    fallback: Option<Response<Body>>,
+}
+
+pub struct Gateway {
+    data_plane: DataPlane,
+    transport: Rc<SocketTransport>,
+    clock: Clock,
+    settings: Rc<Settings>,
+    open_requests: HashMap<RequestId, OpenRequest>,
+    next_request_id: u64,
+    pool: Rc<RefCell<Pool>>,
+    body_budget: BodyBudget,
+    next_eviction: Micros,
+    wake_loop: Rc<tokio::sync::Notify>,
+}
+
+pub type Shared = Rc<RefCell<Gateway>>;
+type BoxError = Box<dyn std::error::Error>;
+
+/// Runs until the process is now to end.
+/// `metrics` is the port where they are served, if any.
+pub async fn run(settings: Rc<Settings>, metrics_port: Option<u16>) -> Result<(), BoxError> {
+    let clock = Clock::start();
+    let frontend = settings.listen_addresses.frontend.ok_or("ListenAddresses.Frontend is missing")?;
+    let readiness = settings.listen_addresses.readiness.ok_or("ListenAddresses.Readiness is missing")?;
+    let (transport, mut messages) = SocketTransport::bind(
+        settings.ip_address,
+        settings.internal_port(),
+        transport::TransportLimits::default(),
+    )?;
+    let now = clock.now();
+    let member = settings.member(Role::Gateway, RunId(chance()));
+    let node = House::start(member, settings.seeds(), micros(settings.heartbeat_s), chance(), now);
+    let wake_loop = Rc::new(tokio::sync::Notify::new());
+    let gateway = Gateway {
+        data_plane: DataPlane::start(node, settings.clone(), chance(), now),
+        transport: Rc::new(transport),
+        clock,
+        settings: settings.clone(),
+        open_requests: HashMap::new(),
+        next_request_id: 0,
+        pool: Rc::default(),
+        body_budget: BodyBudget::for_memory(settings.limit_set.memory_mb * 1e6),
+        next_eviction: 0,
+        wake_loop: wake_loop.clone(),
+    };
+    let shared: Shared = Rc::new(RefCell::new(gateway));
+    if let Some(port) = metrics_port {
+        metrics::spawn(SocketAddrV4::new(settings.ip_address, port), shared.clone());
+    }
+    let (stop_accepting, stopping) = tokio::sync::watch::channel(false);
+    let listener = crate::listen::bind_when_free(frontend, 1024)?;
+    let connections: Rc<ClientConnections> = Rc::default();
+    let clients = crate::tasks::spawn_local(frontend::serve(
+        listener,
+        shared.clone(),
+        connections.clone(),
+        stopping.clone(),
+    ));
+    crate::tasks::spawn_local(frontend::readiness(
+        crate::listen::bind_when_free(readiness, 64)?,
+        shared.clone(),
+    ));
+    let mut signals = Signals::start()?;
+    let grace = Duration::from_micros(micros(settings.timer_bounds.grace_s) as u64);
+    let mut ends_at: Option<tokio::time::Instant> = None;
+    loop {
+        let due = clock.at(shared.borrow().due());
+        let now = tokio::time::Instant::now();
+        if let Some(end) = ends_at {
+            let since_leave = now + grace.saturating_sub(END_MARGIN) - end;
+            if !*stop_accepting.borrow() && since_leave >= ACCEPT_AFTER_LEAVE {
+                let _ = stop_accepting.send(true);
+            }
+            if now >= end {
+                break;
+            }
+        }
+        tokio::select! {
+            arrived = messages.recv() => {
+                let Some(arrived) = arrived else { return Err("the post has gone".into()) };
+                let mut gateway = shared.borrow_mut();
+                gateway.message_received(&shared, &arrived);
+                while let Ok(arrived) = messages.try_recv() {
+                    gateway.message_received(&shared, &arrived);
+                }
+            }
+            _ = tokio::time::sleep_until(due) => shared.borrow_mut().tick(&shared),
+            _ = wake_loop.notified() => {}
+            // All that was taken has been answered to the last byte.
+            () = connections.wait_until_empty(), if *stop_accepting.borrow() && clients.is_finished() => break,
+            signal = signals.next() => match signal {
+                SignalEvent::Terminate if ends_at.is_none() => {
+                    shared.borrow_mut().step(&shared, Input::Leave);
+                    ends_at = Some(now + grace.saturating_sub(END_MARGIN));
+                }
+                SignalEvent::Terminate => {}
+                SignalEvent::Reload => match Settings::path().and_then(|path| Settings::read(&path)) {
+                    Ok(settings) => {
+                        shared.borrow_mut().step(&shared, Input::SeedsChanged { seeds: settings.seeds() });
+                    }
+                    Err(error) => log::warn!(target: LOG_TARGET, "settings stay as they were: {error}"),
+                },
+            },
+        }
+    }
+    shared.borrow_mut().step(&shared, Input::Stop);
+    let _ = tokio::time::timeout(FINAL_ANSWER_WINDOW, connections.wait_until_empty()).await;
+    Ok(())
+}
+
+impl MetricsSource for Gateway {
+    fn metrics(&self) -> Metrics {
+        let mut metrics = Metrics::for_node(&self.data_plane.node, self.transport.stats());
+        metrics.gauge(
+            "configuration_version",
+            "Version requests are routed by",
+            self.data_plane.configuration_version(),
+        );
+        metrics.gauge("ready", "Whether clients may be sent here", u64::from(self.data_plane.ready()));
+        metrics.gauge("requests_in_hand", "Requests that are open", self.open_requests.len() as u64);
+        let refused = self.data_plane.refusals().iter().map(|(cause, count)| (*cause, *count));
+        metrics.labeled_counter(
+            "requests_refused",
+            "Requests without an instance's answer",
+            "cause",
+            refused,
+        );
+        metrics
+    }
+}
+
+impl Gateway {
+    fn due(&self) -> Micros {
+        self.data_plane.due().min(self.next_eviction)
+    }
+
+    fn tick(&mut self, shared: &Shared) {
+        self.step(shared, Input::Tick);
+        let now = self.clock.now();
+        if self.next_eviction <= now {
+            self.next_eviction = now + POOL_EVICTION_INTERVAL;
+            self.pool.borrow_mut().evict_expired(now);
+        }
+    }
+
+    fn message_received(&mut self, shared: &Shared, arrived: &ReceivedMessage) {
+        let ReceivedMessage { from, bytes, carrier } = arrived;
+        self.step(shared, Input::MessageReceived { from: NodeAddress(*from), bytes, carrier: *carrier });
+    }
+
+    fn step(&mut self, shared: &Shared, event: Input<'_>) {
+        let effects = self.data_plane.step(self.clock.now(), event);
+        for effect in effects {
+            match effect {
+                Effect::Send { to, message } => send(&self.transport, to, &message),
+                Effect::StartAttempt { request, attempt, target, deadline, max_connections } => {
+                    self.start_attempt(shared, request, attempt, target, deadline, max_connections);
+                }
+                Effect::CancelAttempt { request, attempt } => {
+                    if let Some(open) = self.open_requests.get(&request) {
+                        open.attempts[attempt.0 as usize].abort();
+                    }
+                }
+                Effect::Reject { request, retry_after } => self.reply(request, Reply::Rejected(retry_after)),
+                Effect::Fail { request } => self.reply(request, Reply::Failed),
+            }
+        }
+    }
+
+    /// A request whose head, and as much of its body as is kept, has been read.
+    fn request_arrived(
+        &mut self, shared: &Shared, service: &str, route: &configuration::Route, original: ReplayableRequest,
+        deadline: Micros,
+    ) -> (RequestId, oneshot::Receiver<Reply>) {
+        self.next_request_id += 1;
+        let request = RequestId(self.next_request_id);
+        let (sender, receiver) = oneshot::channel();
+        let original = Rc::new(original);
+        self.open_requests.insert(
+            request,
+            OpenRequest {
+                original,
+                deadline,
+                attempts: Vec::new(),
+                reply_sender: Some(sender),
+                fallback: None,
+            },
+        );
+        let time_left = deadline - self.clock.now();
+        let (route, kind) = (&*route.name, route.kind);
+        self.step(shared, Input::RequestArrived { request, service, route, kind, time_left });
+        // The loop waits for what was due before.
+        self.wake_loop.notify_one();
+        (request, receiver)
+    }
+
+    /// The client has gone, or has its answer.
+    fn request_closed(&mut self, shared: &Shared, request: RequestId) {
+        self.step(shared, Input::RequestClosed { request });
+        self.open_requests.remove(&request);
+    }
+
+    fn reply(&mut self, request: RequestId, reply: Reply) {
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
+        let reply = match (open.fallback.take(), reply) {
+            (Some(fallback), Reply::Rejected(_) | Reply::Failed) => Reply::Answer(fallback),
+            (_, reply) => reply,
+        };
+        if let Some(sender) = open.reply_sender.take() {
+            let _ = sender.send(reply);
+        }
+    }
+
+    fn start_attempt(
+        &mut self, shared: &Shared, request: RequestId, attempt: AttemptNo, target: TargetInstance,
+        deadline: Option<Micros>, max_connections: usize,
+    ) {
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
+        let deadline = deadline.unwrap_or(open.deadline).min(open.deadline);
+        let (pool, clock, original) = (self.pool.clone(), self.clock, open.original.clone());
+        let reservation = self.body_budget.reservation();
+        let running = Attempt { pool, clock, target, original, deadline, max_connections, reservation };
+        let (gateway, sent) = (shared.clone(), clock.now());
+        let task = crate::tasks::spawn_local(async move {
+            let result = running.run().await;
+            let mut gateway_state = gateway.borrow_mut();
+            let elapsed = clock.now() - sent;
+            gateway_state.attempt_ended(&gateway, request, attempt, elapsed, result);
+        });
+        open.attempts.push(task.abort_handle());
+    }
+
+    fn attempt_ended(
+        &mut self, shared: &Shared, request: RequestId, attempt: AttemptNo, elapsed: Micros,
+        result: AttemptResult,
+    ) {
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
+        let idempotent = open.original.idempotent;
+        let (outcome, answered) = match result {
+            AttemptResult::Failed(outcome) => (outcome, open.reply_sender.is_none()),
+            // What an instance says of its own failure may be original again elsewhere where that does no harm.
+            AttemptResult::Answer { response, outcome: AttemptOutcome::Error } if idempotent => {
+                open.fallback = Some(response);
+                (AttemptOutcome::Error, open.reply_sender.is_none())
+            }
+            AttemptResult::Answer { response, outcome } => {
+                if let Some(reply) = open.reply_sender.take() {
+                    let _ = reply.send(Reply::Answer(response));
+                }
+                (outcome, true)
+            }
+        };
+        self.step(shared, Input::AttemptEnded { request, attempt, elapsed, outcome, answered });
+        self.wake_loop.notify_one();
+    }
+}
+
+/// A time to come back as clients read it, in seconds.
+fn retry_after_seconds(retry_after: Option<Micros>) -> String {
+    format!("{:.3}", retry_after.unwrap_or(100 * MS) as f64 / 1e6)
+}
--- /dev/null
+++ b/crates/playhouse/src/gateway/pool.rs
@@ -0,0 +1,254 @@
+//! Connections to instances: made, kept while idle, and handed out again.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::io::IoSlice;
+use std::mem::MaybeUninit;
+use std::net::SocketAddrV4;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::combinators::UnsyncBoxBody;
+use hyper::client::conn::http1::{Builder, SendRequest};
+use hyper::rt::{Read, ReadBufCursor, Write};
+use hyper_util::rt::TokioIo;
+use socket2::{Domain, Protocol, SockRef, Socket, Type};
+use tokio::net::TcpStream;
+use types::{Micros, SECOND};
+
+use super::connection_state::{ConnectionState, ExchangeEnd, SocketState};
+
+// Operators filter log lines by this name, which is older than the module's.
+const LOG_TARGET: &str = "playhouse::foyer::pool";
+
+pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
+pub type Body = UnsyncBoxBody<Bytes, BodyError>;
+
+/// A connection to an instance. Dropped, it is closed at once, whatever is still under way on it: what it
+/// would still bring belongs to no request, and what it still takes counts at the instance.
+pub struct Connection {
+    pub sender: SendRequest<Body>,
+    task: tokio::task::AbortHandle,
+    socket: Rc<SharedSocket>,
+}
+
+/// What the connection's task and its owner share.
+struct SharedSocket {
+    io: RefCell<TokioIo<TcpStream>>,
+    state: Cell<ConnectionState>,
+}
+
+impl SharedSocket {
+    /// Looks at the socket itself: the runtime learns of bytes only when it asks the kernel next, and hyper
+    /// writes before that.
+    fn socket_state(&self) -> SocketState {
+        let io = self.io.borrow();
+        match SockRef::from(io.inner()).peek(&mut [MaybeUninit::uninit()]) {
+            Ok(0) => SocketState::Closed,
+            Ok(_) => SocketState::Readable,
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => SocketState::Empty,
+            Err(_) => SocketState::Closed,
+        }
+    }
+}
+
+impl Connection {
+    /// Takes it for one exchange; `false` where it is not proved empty, and it is never used then.
+    fn acquire(&self) -> bool {
+        self.socket.state.set(self.socket.state.get().acquire(self.socket_state()));
+        self.is_unsent()
+    }
+
+    fn finish(&self, end: ExchangeEnd) -> ConnectionState {
+        self.socket.state.set(self.socket.state.get().finish(end));
+        self.socket.state.get()
+    }
+
+    /// Whether it is known that the instance has heard nothing of this exchange.
+    pub fn is_unsent(&self) -> bool {
+        self.socket.state.get().is_unsent()
+    }
+
+    /// What lies unread in it now. One that hyper has closed, or that still works on what it was asked, is ended.
+    fn socket_state(&self) -> SocketState {
+        if self.sender.is_ready() { self.socket.socket_state() } else { SocketState::Closed }
+    }
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+/// How long a connection lies idle at max_connections where the instance has keep_alive nothing of its own: well under what
+/// servers usually keep, since one that crosses its closing may have run.
+const DEFAULT_IDLE_LIFETIME: Micros = 4 * SECOND;
+/// Of what an instance tells in `Keep-Alive`, so much is left for the way there.
+const KEEP_ALIVE_MARGIN: Micros = SECOND;
+/// Bytes read ahead of what is wanted, and of an answer's head, on one connection.
+const READ_AHEAD_BYTES: usize = 64 << 10;
+/// A connection that takes none of what is written for so long is broken; guards against cut links.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+
+struct IdleConnection {
+    connection: Connection,
+    expires_at: Micros,
+}
+
+/// The connections to one address.
+#[derive(Default)]
+struct AddressConnections {
+    idle: Vec<IdleConnection>,
+    in_use: usize,
+}
+
+#[derive(Default)]
+pub struct Pool {
+    by_address: HashMap<SocketAddrV4, AddressConnections>,
+}
+
+impl Pool {
+    /// An idle connection that is proved empty, the one used last first, so that the others can end.
+    pub fn take(&mut self, now: Micros, address: SocketAddrV4) -> Option<Connection> {
+        let connections = self.by_address.get_mut(&address)?;
+        while let Some(idle) = connections.idle.pop() {
+            if idle.expires_at > now && idle.connection.acquire() {
+                connections.in_use += 1;
+                return Some(idle.connection);
+            }
+        }
+        None
+    }
+
+    /// Whether one more may be made, of `max_connections`; it then counts as made. Where only idle ones stand in its way, they
+    /// are none that may be used for this, and the one that has lain longest goes.
+    pub fn reserve(&mut self, now: Micros, address: SocketAddrV4, max_connections: usize) -> bool {
+        let connections = self.by_address.entry(address).or_default();
+        connections.idle.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
+        if connections.in_use + connections.idle.len() >= max_connections.max(1) {
+            if connections.idle.is_empty() {
+                return false;
+            }
+            connections.idle.remove(0);
+        }
+        connections.in_use += 1;
+        true
+    }
+
+    /// A connection that was handed out is not used any more, or has served one request whole.
+    pub fn release(
+        &mut self, now: Micros, address: SocketAddrV4, connection: Option<Connection>,
+        keep_alive: Option<Micros>,
+    ) {
+        let Some(connections) = self.by_address.get_mut(&address) else { return };
+        connections.in_use = connections.in_use.saturating_sub(1);
+        let lifetime = keep_alive
+            .map_or(DEFAULT_IDLE_LIFETIME, |keep_alive| keep_alive - KEEP_ALIVE_MARGIN)
+            .min(60 * SECOND);
+        let Some(connection) = connection else { return };
+        // One that is not ready still writes a request whose answer has come already, or has read more than that.
+        let reusable = lifetime > 0 && connection.sender.is_ready();
+        if connection.finish(if reusable { ExchangeEnd::Clean } else { ExchangeEnd::Broken })
+            == ConnectionState::Idle
+        {
+            connections.idle.push(IdleConnection { connection, expires_at: now + lifetime });
+        }
+    }
+
+    /// What lies unread in the idle connections to an address.
+    pub fn idle_socket_states(&self, address: SocketAddrV4) -> Vec<SocketState> {
+        let connections = self.by_address.get(&address);
+        connections.map_or_else(Vec::new, |connections| {
+            connections.idle.iter().map(|idle| idle.connection.socket_state()).collect()
+        })
+    }
+
+    /// Ends what has lain idle for too long, and forgets addresses without connections.
+    pub fn evict_expired(&mut self, now: Micros) {
+        self.by_address.retain(|_, connections| {
+            connections.idle.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
+            connections.in_use > 0 || !connections.idle.is_empty()
+        });
+    }
+}
+
+/// Connects; what the caller waits for at max_connections is the caller's.
+pub async fn connect(address: SocketAddrV4) -> std::io::Result<Connection> {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_nonblocking(true)?;
+    let stream = tokio::net::TcpSocket::from_std_stream(socket.into()).connect(address.into()).await?;
+    stream.set_nodelay(true)?;
+    SockRef::from(&stream).set_tcp_user_timeout(Some(WRITE_TIMEOUT))?;
+    handshake(stream).await.map_err(std::io::Error::other)
+}
+
+async fn handshake(stream: TcpStream) -> hyper::Result<Connection> {
+    // One that has just come up is lent to whom it was made for.
+    let state = Cell::new(ConnectionState::NEW.acquire(SocketState::Empty));
+    let socket = Rc::new(SharedSocket { io: RefCell::new(TokioIo::new(stream)), state });
+    let (sender, connection) = Builder::new()
+        .max_header_size(READ_AHEAD_BYTES)
+        .max_buf_size(READ_AHEAD_BYTES)
+        .handshake(CountedIo(socket.clone()))
+        .await?;
+    let task = crate::tasks::spawn_local(async move {
+        if let Err(error) = connection.await {
+            log::debug!(target: LOG_TARGET, "a connection to an instance ended: {error}");
+        }
+    });
+    Ok(Connection { sender, task: task.abort_handle(), socket })
+}
+
+/// A connection whose written bytes are counted.
+struct CountedIo(Rc<SharedSocket>);
+
+impl CountedIo {
+    fn with_io<T>(&self, act: impl FnOnce(Pin<&mut TokioIo<TcpStream>>) -> T) -> T {
+        act(Pin::new(&mut *self.0.io.borrow_mut()))
+    }
+
+    fn count_written(&self, wrote: Poll<std::io::Result<usize>>) -> Poll<std::io::Result<usize>> {
+        if let Poll::Ready(Ok(bytes)) = &wrote {
+            self.0.state.set(self.0.state.get().bytes_written(*bytes));
+        }
+        wrote
+    }
+}
+
+impl Read for CountedIo {
+    fn poll_read(
+        self: Pin<&mut Self>, context: &mut Context<'_>, buffer: ReadBufCursor<'_>,
+    ) -> Poll<std::io::Result<()>> {
+        self.with_io(|io| io.poll_read(context, buffer))
+    }
+}
+
+impl Write for CountedIo {
+    fn poll_write(
+        self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
+    ) -> Poll<std::io::Result<usize>> {
+        self.count_written(self.with_io(|io| io.poll_write(context, bytes)))
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+        self.with_io(|io| io.poll_flush(context))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+        self.with_io(|io| io.poll_shutdown(context))
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.0.io.borrow().is_write_vectored()
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>, context: &mut Context<'_>, parts: &[IoSlice<'_>],
+    ) -> Poll<std::io::Result<usize>> {
+        self.count_written(self.with_io(|io| io.poll_write_vectored(context, parts)))
+    }
+}
--- a/crates/playhouse/src/lib.rs
+++ b/crates/playhouse/src/lib.rs
@@ -4,9 +4,9 @@
 pub mod calls;
 pub mod commands;
 pub mod control;
+pub mod data_plane;
 pub mod demo;
-pub mod floor;
-pub mod foyer;
+pub mod gateway;
 pub mod house;
 mod listen;
 pub mod metrics;
--- a/crates/playhouse/src/listen.rs
+++ b/crates/playhouse/src/listen.rs
@@ -43,8 +43,8 @@
 }
 
 /// Serves each connection as HTTP/1.1 in a task of its own, without an end. A caller that sends no request within
-/// `head_within` is closed.
-pub async fn serve<A, F, B>(listener: TcpListener, head_within: Duration, answer: A)
+/// `head_timeout` is closed.
+pub async fn serve<A, F, B>(listener: TcpListener, head_timeout: Duration, answer: A)
 where
     A: Fn(Request<Incoming>) -> F + Clone + 'static,
     F: Future<Output = Response<B>> + 'static,
@@ -61,7 +61,7 @@
             });
             let served = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(head_within)
+                .header_read_timeout(head_timeout)
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
             if let Err(error) = served {
--- a/crates/playhouse/src/metrics.rs
+++ b/crates/playhouse/src/metrics.rs
@@ -23,7 +23,7 @@
 const PATH: &str = "/metrics";
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 /// A scraper that sends no request within this is closed.
-const HEAD_WITHIN: Duration = Duration::from_secs(5);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 const BACKLOG: i32 = 8;
 
 /// The metrics of one process, gathered for one answer.
@@ -31,14 +31,22 @@
 
 impl Metrics {
     /// What gateways and control machines have in common.
-    pub fn of(house: &House, post: TransportStats) -> Metrics {
+    pub fn for_node(house: &House, stats: TransportStats) -> Metrics {
         let mut metrics = Metrics(Registry::with_prefix("garnetdoor"));
-        let news = house.board.stats();
-        metrics.gauge("news_held_index", "Last ordered command held here", news.held_index.0);
-        metrics.gauge("news_known_index", "Newest ordered command heard of", news.known_index.0);
-        metrics.counter("news_asks", "Asks for missing commands", news.pulls);
-        metrics.counter("news_asks_unanswered", "Asks without an answer in time", news.pulls_unanswered);
-        metrics.gauge("news_longest_gap_micros", "Longest time behind", news.longest_gap.max(0) as u64);
+        let replication = house.board.stats();
+        metrics.gauge("news_held_index", "Last ordered command held here", replication.held_index.0);
+        metrics.gauge("news_known_index", "Newest ordered command heard of", replication.known_index.0);
+        metrics.counter("news_asks", "Asks for missing commands", replication.pulls);
+        metrics.counter(
+            "news_asks_unanswered",
+            "Asks without an answer in time",
+            replication.pulls_unanswered,
+        );
+        metrics.gauge(
+            "news_longest_gap_micros",
+            "Longest time behind",
+            replication.longest_gap.max(0) as u64,
+        );
         let watches = house.board.watch_stats();
         if let Some(age) = house.news_age() {
             metrics.gauge("news_age_micros", "Age of what is held, as proved", age as u64);
@@ -64,13 +72,13 @@
         );
         metrics.gauge("gateways_up", "Others, as seen here", house.up(Role::Gateway).len() as u64);
         metrics.counter("members_declared_dead", "Members held dead, in turn", house.declared_dead());
-        metrics.counter("datagrams_sent", "Datagrams given to the system", post.datagrams_sent);
-        metrics.counter("datagrams_refused", "Datagrams not taken by the system", post.datagrams_refused);
-        metrics.counter("datagrams_received", "Datagrams received", post.datagrams_received);
-        metrics.counter("datagrams_dropped", "Datagrams dropped for want of room", post.datagrams_dropped);
+        metrics.counter("datagrams_sent", "Datagrams given to the system", stats.datagrams_sent);
+        metrics.counter("datagrams_refused", "Datagrams not taken by the system", stats.datagrams_refused);
+        metrics.counter("datagrams_received", "Datagrams received", stats.datagrams_received);
+        metrics.counter("datagrams_dropped", "Datagrams dropped for want of room", stats.datagrams_dropped);
         metrics.gauge("peers_by_stream", "Nodes not left to datagrams now", house.streams() as u64);
         metrics.gauge("link_strained", "Own datagrams seem to be lost", u64::from(house.strained()));
-        metrics.counter("stream_messages_sent", "Messages queued for streams", post.stream_messages_sent);
+        metrics.counter("stream_messages_sent", "Messages queued for streams", stats.stream_messages_sent);
         metrics
     }
 
@@ -87,7 +95,7 @@
     }
 
     /// A counter for each value of one label.
-    pub fn counter_by<'a>(
+    pub fn labeled_counter<'a>(
         &mut self, name: &str, help: &str, label: &str, values: impl Iterator<Item = (&'a str, u64)>,
     ) {
         let family: Family<Vec<(String, String)>, Counter> = Family::default();
@@ -106,30 +114,29 @@
 }
 
 /// What can tell metrics of itself.
-pub trait Measured {
+pub trait MetricsSource {
     fn metrics(&self) -> Metrics;
 }
 
 /// Serves metrics at an address, if it can be had; a process without them goes on.
-pub fn spawn<T: Measured + 'static>(at: SocketAddrV4, measured: Rc<RefCell<T>>) {
+pub fn spawn<T: MetricsSource + 'static>(at: SocketAddrV4, source: Rc<RefCell<T>>) {
     match crate::listen::bind(at, BACKLOG) {
         Ok(listener) => {
-            let answer = move |request: Request<Incoming>| {
-                std::future::ready(answer(request.uri().path(), &*measured))
-            };
-            drop(crate::tasks::spawn_local(crate::listen::serve(listener, HEAD_WITHIN, answer)));
+            let answer =
+                move |request: Request<Incoming>| std::future::ready(answer(request.uri().path(), &*source));
+            drop(crate::tasks::spawn_local(crate::listen::serve(listener, HEAD_TIMEOUT, answer)));
         }
         Err(error) => log::warn!("no metrics at {at}: {error}"),
     }
 }
 
-fn answer<T: Measured>(path: &str, measured: &RefCell<T>) -> Response<Full<Bytes>> {
+fn answer<T: MetricsSource>(path: &str, source: &RefCell<T>) -> Response<Full<Bytes>> {
     if path != PATH {
         let mut answer = Response::new(Full::default());
         *answer.status_mut() = StatusCode::NOT_FOUND;
         return answer;
     }
-    let text = measured.borrow().metrics().text();
+    let text = source.borrow().metrics().text();
     let mut answer = Response::new(Full::new(Bytes::from(text)));
     answer.headers_mut().insert(header::CONTENT_TYPE, header::HeaderValue::from_static(CONTENT_TYPE));
     answer
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -25,11 +25,11 @@
 use crate::commands::view::{Disk, view};
 use crate::control::{Control, In, Out, Told};
 use crate::house::{Clock, House, chance};
-use crate::metrics::{self, Measured, Metrics};
+use crate::metrics::{self, Metrics, MetricsSource};
 use crate::post::send;
 use crate::ring;
 use crate::settings::{Settings, micros};
-use crate::signals::{Signals, Told as Signal};
+use crate::signals::{SignalEvent, Signals};
 use crate::troubles::{Reverted, Writes};
 
 /// Bytes of a call's body at most.
@@ -163,13 +163,13 @@
             _ = tokio::time::sleep_until(due) => shared.borrow_mut().step(In::Tick),
             _ = changed.notified() => {}
             signal = signals.next() => match signal {
-                Signal::End if ending => break,
-                Signal::End => {
+                SignalEvent::Terminate if ending => break,
+                SignalEvent::Terminate => {
                     let mut prompter = shared.borrow_mut();
                     prompter.ending = true;
                     prompter.step(In::Leave);
                 }
-                Signal::Reload => match Settings::path().and_then(|path| Settings::read(&path)) {
+                SignalEvent::Reload => match Settings::path().and_then(|path| Settings::read(&path)) {
                     Ok(settings) => shared.borrow_mut().step(In::Seeds { places: settings.seeds() }),
                     Err(error) => log::warn!("settings stay as they were: {error}"),
                 },
@@ -181,9 +181,9 @@
     Ok(())
 }
 
-impl Measured for Prompter {
+impl MetricsSource for Prompter {
     fn metrics(&self) -> Metrics {
-        let mut metrics = Metrics::of(&self.control.house, self.post.stats());
+        let mut metrics = Metrics::for_node(&self.control.house, self.post.stats());
         metrics.gauge("leads", "Whether this machine leads", u64::from(self.control.book().is_leader()));
         metrics.gauge("calls_waiting", "Calls without an answer yet", self.asks.len() as u64);
         metrics
--- a/crates/playhouse/src/signals.rs
+++ b/crates/playhouse/src/signals.rs
@@ -2,8 +2,8 @@
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-pub enum Told {
-    End,
+pub enum SignalEvent {
+    Terminate,
     Reload,
 }
 
@@ -22,11 +22,11 @@
         })
     }
 
-    pub async fn next(&mut self) -> Told {
+    pub async fn next(&mut self) -> SignalEvent {
         tokio::select! {
-            _ = self.term.recv() => Told::End,
-            _ = self.int.recv() => Told::End,
-            _ = self.hup.recv() => Told::Reload,
+            _ = self.term.recv() => SignalEvent::Terminate,
+            _ = self.int.recv() => SignalEvent::Terminate,
+            _ = self.hup.recv() => SignalEvent::Reload,
         }
     }
 }
--- a/crates/rehearsal/src/plant.rs
+++ b/crates/rehearsal/src/plant.rs
@@ -339,7 +339,7 @@
         for machine in &mut self.machines {
             let script = match &mut machine.process {
                 Some(Process::Prompter(process)) => &mut process.control.house.script,
-                Some(Process::Foyer(process)) => &mut process.floor.house.script,
+                Some(Process::Foyer(process)) => &mut process.floor.node.script,
                 None => continue,
             };
             if let Some(rollout) = script.rollouts.get_mut(&service) {
--- a/crates/rehearsal/src/world/machine.rs
+++ b/crates/rehearsal/src/world/machine.rs
@@ -316,7 +316,7 @@
         machine.tick_at = Micros::MAX;
         match machine.process {
             Some(Process::Prompter(_)) => self.prompter_step(at, playhouse::control::In::Tick),
-            Some(Process::Foyer(_)) => self.foyer_step(at, playhouse::floor::In::Tick),
+            Some(Process::Foyer(_)) => self.foyer_step(at, playhouse::data_plane::Input::Tick),
             None => {}
         }
     }
@@ -340,7 +340,7 @@
                 self.prompter_step(to, playhouse::control::In::Mail { from, bytes: bytes.to_vec(), carrier });
             }
             Some(Process::Foyer(_)) => {
-                self.foyer_step(to, playhouse::floor::In::Mail { from, bytes, carrier })
+                self.foyer_step(to, playhouse::data_plane::Input::MessageReceived { from, bytes, carrier })
             }
             None => {}
         }
--- a/crates/rehearsal/src/world/troubles.rs
+++ b/crates/rehearsal/src/world/troubles.rs
@@ -200,7 +200,7 @@
             Some(Process::Foyer(_)) => {
                 let grace = self.terms.grace - END_BEFORE;
                 self.saw(What::Planned { machine: at, until: self.now + grace + back });
-                self.foyer_step(at, playhouse::floor::In::Leave);
+                self.foyer_step(at, playhouse::data_plane::Input::Leave);
                 self.machines[at].ends_back = back;
                 self.later(STILL_COMING, Event::Close { at, run });
                 self.later(grace, Event::End { at, run, back });
@@ -410,7 +410,9 @@
                 Some(Process::Prompter(_)) => {
                     self.prompter_step(at, playhouse::control::In::Seeds { places });
                 }
-                Some(Process::Foyer(_)) => self.foyer_step(at, playhouse::floor::In::Seeds { places }),
+                Some(Process::Foyer(_)) => {
+                    self.foyer_step(at, playhouse::data_plane::Input::SeedsChanged { seeds: places })
+                }
                 None => {}
             }
         }
