--- a/crates/playhouse/src/data_plane/mod.rs
+++ b/crates/playhouse/src/data_plane/mod.rs
@@ -1,5 +1,6 @@
-//! DataPlane (a gateway's core): the common part, a host for each service, and the tickets that are open, joined
-//! without I/O: time and events in, effects out. What is decided is decided in `garnetdoor` and the rooms.
+//! Data plane core of a gateway: the shared node state, one service host per service, and the open requests. It does
+//! no I/O: the driver passes in time and events and carries out the effects that are returned. Load balancing itself
+//! is decided in the `garnetdoor` library and in the packages that this module combines.
 
 pub mod service_host;
 
@@ -26,27 +27,32 @@
 use service_host::{Action, ServiceHost, TargetInstance};
 
 const VOTE_INTERVAL: Micros = SECOND;
-/// A gateway that knows instances of some services opens after this without the others: two beats are under it.
+/// A gateway that knows instances of some services becomes ready after this time without the others. Two heartbeat
+/// intervals are shorter.
 const PARTIAL_REGISTRY_WAIT: Micros = 1_500 * MS;
-/// Foyers that come or go are gathered for so long, as each one moves every service's settings and this gateway's part of
-/// the instances: where many go at once that is worked out a few times, not once for each. Well under the second or
-/// more in which they are found to be gone.
+/// Changes of the gateway membership are collected for this long, because each one changes the settings of every
+/// service and this gateway's share of the instances. When many gateways fail at once, these are then recomputed a
+/// few times instead of once for each. This is well under the second or more that it takes to detect a failed
+/// gateway.
 const MEMBERSHIP_CHANGE_DELAY: Micros = 200 * MS;
-/// The cause of a refusal where the service or route is not known here any more.
+/// Longest warm-up of an instance that is taken into account.
+const MAX_WARMUP: Micros = 60 * SECOND;
+/// Cause of a refusal when the service or route is no longer known here.
 const UNKNOWN_SERVICE: &str = "unknown-service";
-/// A gateway that has been up for less when a roll-out comes may have had an earlier life that served in it.
+/// A gateway with a shorter uptime when a roll-out begins may have had an earlier run that took part in it.
 const MIN_UPTIME_WITHOUT_EARLIER_RUN: Micros = 5 * SECOND;
 
-/// What a gateway is index_changed.
+/// An event for the data plane.
 #[derive(Debug)]
 pub enum Input<'a> {
     Tick,
+    /// A message from another node.
     MessageReceived {
         from: NodeAddress,
         bytes: &'a [u8],
         carrier: Carrier,
     },
-    /// A request that goes to one of its route's services; `left` is the client's time.
+    /// A client request for one of its route's services; `time_left` is the time until its deadline.
     RequestArrived {
         request: RequestId,
         service: &'a str,
@@ -54,7 +60,7 @@
         kind: RouteKind,
         time_left: Micros,
     },
-    /// A attempt has ended; `over`: the request has its answer.
+    /// An attempt has ended; `answered` is true if the request has its final answer.
     AttemptEnded {
         request: RequestId,
         attempt: AttemptNo,
@@ -62,26 +68,28 @@
         outcome: AttemptOutcome,
         answered: bool,
     },
-    /// The client has its answer, or has gone.
+    /// The client has its answer, or has disconnected.
     RequestClosed {
         request: RequestId,
     },
+    /// The addresses of seed nodes were reloaded.
     SeedsChanged {
         seeds: Vec<NodeAddress>,
     },
+    /// The process begins to drain and leaves the membership.
     Leave,
-    /// The process ends: every open request gets its final answer.
+    /// The process is stopping: every open request gets its final answer.
     Stop,
 }
 
-/// What a gateway asks of its driver.
+/// What the data plane asks of its driver.
 #[derive(Debug)]
 pub enum Effect {
     Send {
         to: NodeAddress,
         message: Letter,
     },
-    /// Send the request to an instance, over `connections` to it at most.
+    /// Sends the request to an instance, over at most `max_connections` connections to it.
     StartAttempt {
         request: RequestId,
         attempt: AttemptNo,
@@ -89,27 +97,30 @@
         deadline: Option<Micros>,
         max_connections: usize,
     },
+    /// Aborts an attempt.
     CancelAttempt {
         request: RequestId,
         attempt: AttemptNo,
     },
-    /// Final answers: not run and never will be, with a time to come back; or nothing promised.
+    /// Final answer: the request has not run and never will; `retry_after` is the suggested delay before a retry.
     Reject {
         request: RequestId,
         retry_after: Option<Micros>,
     },
+    /// Final answer without a promise that the request did not run.
     Fail {
         request: RequestId,
     },
 }
 
-/// A request that is open: its service, and which of its attempts have ended.
+/// An open request: its service and its attempts.
 struct OpenRequest {
     service: Rc<str>,
-    /// Where each attempt went, until it has ended.
+    /// The instance of each attempt by attempt number; `None` once the attempt has ended.
     attempts: Vec<Option<ServerId>>,
 }
 
+/// State machine of a gateway's data plane; see the module documentation.
 pub struct DataPlane {
     pub node: House,
     now: Rc<Cell<Micros>>,
@@ -121,36 +132,38 @@
     next_timer_id: u64,
     open_requests: BTreeMap<RequestId, OpenRequest>,
     fleet: Fleet,
-    /// All gateways that are up, this one too, in order.
+    /// All gateways that are up, including this one, in order of their addresses.
     gateways: Vec<NodeAddress>,
     budget_limits: BudgetLimits,
     retry_budget: Rc<RefCell<RetryBudget>>,
-    /// How many gateways were known over time, for this one's part of what is shared.
+    /// The number of known gateways over time, from which this gateway's share of the shared budgets follows.
     gateway_counts: GatewayCounts,
     started_at: Micros,
     votes_due: Micros,
-    /// When gateways that came or went are to count, where some did.
+    /// When collected membership changes take effect; `Micros::MAX` if there are none.
     membership_change_due: Micros,
     seed: u64,
     leaving: bool,
-    /// Whether what is here was once known to be new, whether clients may be sent here, and since when a
-    /// configuration is known.
+    /// Whether the state held here was once shown to be fresh.
     freshness_proved: bool,
+    /// Whether the conditions of `ready` were met once.
     opened: bool,
+    /// When a configuration was first known.
     configuration_known_since: Option<Micros>,
-    /// Final answers of the decisions that were no instance's, since the start.
+    /// Final answers given by the balancer rather than by an instance, since the start.
     rejected_count: u64,
     failed_count: u64,
     /// Requests refused since the start, by cause.
     refusals: BTreeMap<&'static str, u64>,
-    /// What it says of itself, and whom it looks at; none unless `check_intent` was called.
+    /// Takes part in the intent check; `None` unless `check_intent` was called.
     intent_checker: Option<Usher>,
     effects: Vec<Effect>,
 }
 
 impl DataPlane {
-    pub fn start(mut house: House, settings: Rc<Settings>, seed: u64, now: Micros) -> DataPlane {
-        house.cast.set_drain_limit(micros(settings.timer_bounds.drain_s));
+    /// Starts without a configuration. `seed` determines every random choice of the balancers.
+    pub fn start(mut node: House, settings: Rc<Settings>, seed: u64, now: Micros) -> DataPlane {
+        node.cast.set_drain_limit(micros(settings.timer_bounds.drain_s));
         let timer_bounds = &settings.timer_bounds;
         let budget_limits = BudgetLimits {
             retry_ratio: timer_bounds.retry_budget_ratio,
@@ -166,7 +179,7 @@
             budget_limits.retry_window,
         );
         DataPlane {
-            node: house,
+            node,
             now: Rc::new(Cell::new(now)),
             settings,
             configuration: None,
@@ -207,13 +220,13 @@
         self.configuration.as_ref()
     }
 
-    /// The version of the configuration that requests are routed by; 0 before the first.
+    /// Version of the configuration that requests are routed by; 0 before the first one.
     pub fn configuration_version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |configuration| u64::from(configuration.version.0))
     }
 
-    /// Whether clients may be sent here. Once it is so it stays so until the process leaves: what is missing
-    /// later is missing everywhere. Only the check of intents may withdraw it, where that is on.
+    /// Whether clients may be sent here. Once true it stays true until the process leaves, because whatever goes
+    /// missing later is missing at every gateway. Only the intent check may withdraw it, where it is enabled.
     pub fn ready(&self) -> bool {
         !self.leaving
             && self.opened
@@ -221,10 +234,10 @@
             && self.intent_checker.as_ref().is_none_or(|checker| checker.ward.open())
     }
 
-    /// How this gateway stands, for people and scripts.
+    /// Status of this gateway for operators and scripts.
     pub fn status(&self) -> simd_json::OwnedValue {
         let count_in = |state: registry::InstanceState| {
-            self.node.cast.instances().filter(|known| known.state == state).count() as u64
+            self.node.cast.instances().filter(|instance| instance.state == state).count() as u64
         };
         let not_ready_because = match (self.leaving, &self.configuration, self.node.why_unreadable()) {
             (true, ..) => "it is leaving",
@@ -256,8 +269,8 @@
         })
     }
 
-    /// Takes part in the check of `docs/intent.md`, which is off unless this is called: looks at other gateways
-    /// and restarts are not driven yet, so that nobody who was accused could show that it is well.
+    /// Enables the check described in `docs/intent.md`. It is off unless this is called, because looking at other
+    /// gateways and restarts are not driven yet: a gateway that was accused could not show that it is healthy.
     pub fn check_intent(&mut self, now: Micros) {
         let own = &self.node.own;
         let tuning = intent::Tuning::of_apply(micros(self.settings.timer_bounds.config_apply_s));
@@ -265,18 +278,19 @@
         self.notify_intent_checker(now);
     }
 
-    /// Opens once a configuration is there, and instances of each service that a route leads to; without some
-    /// of them after a while, since a service may have none. Guards against requests for services whose
-    /// instances are not known here yet, while other gateways know them. What is here has to be known as new
-    /// besides: guards against serving from a prompter that is cut off what has long been replaced.
+    /// Sets ready once there is a configuration and instances of each service that a route leads to; after
+    /// `PARTIAL_REGISTRY_WAIT` without some of them, since a service may have none. This prevents requests for
+    /// services whose instances are not known here yet while other gateways know them. The state must also have been
+    /// shown to be fresh: otherwise a gateway that learns from a partitioned control node could serve a configuration
+    /// that was replaced long ago.
     fn update_readiness(&mut self, now: Micros) {
         self.freshness_proved = self.freshness_proved || self.node.proved();
         let Some(configuration) = self.configuration.as_ref().filter(|_| !self.opened) else { return };
         let registry = &self.node.cast;
         let services_in_service: HashSet<&str> = registry
             .instances()
-            .filter(|known| known.state == registry::InstanceState::InService)
-            .map(|known| known.service.as_str())
+            .filter(|instance| instance.state == registry::InstanceState::InService)
+            .map(|instance| instance.service.as_str())
             .collect();
         let mut targets = configuration.routes.values().flat_map(|route| &route.targets);
         let all_known = targets.all(|target| services_in_service.contains(&*target.service));
@@ -286,21 +300,19 @@
             && (all_known || now - since >= PARTIAL_REGISTRY_WAIT);
     }
 
+    /// Whether `Input::Leave` was received.
     pub fn leaving(&self) -> bool {
         self.leaving
     }
 
+    /// When the next `Input::Tick` is needed.
     pub fn due(&self) -> Micros {
         let next_timer = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
-        let step_intent_checker = self.intent_checker.as_ref().map_or(Micros::MAX, Usher::due);
-        self.node
-            .due()
-            .min(next_timer)
-            .min(self.votes_due)
-            .min(self.membership_change_due)
-            .min(step_intent_checker)
+        let checker_due = self.intent_checker.as_ref().map_or(Micros::MAX, Usher::due);
+        self.node.due().min(next_timer).min(self.votes_due).min(self.membership_change_due).min(checker_due)
     }
 
+    /// Handles one event and returns the effects to carry out, in order.
     pub fn step(&mut self, now: Micros, event: Input<'_>) -> Vec<Effect> {
         self.now.set(now);
         match event {
@@ -333,11 +345,11 @@
 
     fn tick(&mut self, now: Micros) {
         self.node.tick(now);
-        while let Some(Reverse((at, number))) = self.timers.peek().copied()
+        while let Some(Reverse((at, timer_id))) = self.timers.peek().copied()
             && at <= now
         {
             self.timers.pop();
-            if let Some((service, timer)) = self.timer_targets.remove(&number) {
+            if let Some((service, timer)) = self.timer_targets.remove(&timer_id) {
                 self.with_service(&service, |host| host.balancer.timer_fired(timer));
             }
         }
@@ -352,22 +364,22 @@
         }
     }
 
-    /// Carries on what has happened in the common part.
+    /// Handles the events of the shared node state.
     fn handle_node_events(&mut self, now: Micros) {
-        let (mut changed, mut index_changed) = (false, false);
+        let (mut changed, mut notify_checker) = (false, false);
         while let Some(happened) = self.node.happened() {
             match happened {
                 Happened::Applied { outcome: CommandOutcome::Applied, .. } | Happened::Restored => {
                     changed = true
                 }
-                // What was refused changes nothing, but the index goes on.
-                Happened::Applied { .. } => index_changed = true,
+                // A rejected command changes nothing, but the log index advances.
+                Happened::Applied { .. } => notify_checker = true,
                 Happened::Peers => {
-                    index_changed = true;
+                    notify_checker = true;
                     changed |= self.peers_changed(now);
                 }
                 Happened::Instance(id) => self.instance_changed(&id),
-                // What is for prompters only.
+                // For control nodes only.
                 Happened::BeatTaken { .. }
                 | Happened::BeatNotTaken { .. }
                 | Happened::Book { .. }
@@ -380,14 +392,14 @@
         if changed {
             self.state_changed(now);
         }
-        if changed || index_changed {
+        if changed || notify_checker {
             self.notify_intent_checker(now);
         }
         self.update_readiness(now);
     }
 
-    /// The part of what is shared is this gateway's at once; all else is worked out soon, or now (`true`) where
-    /// there is no configuration to work it out from.
+    /// Updates this gateway's share of the budgets at once and schedules the rest. Returns true if the rest is to be
+    /// recomputed now, because there is no configuration yet.
     fn peers_changed(&mut self, now: Micros) -> bool {
         let gateways = self.node.up(Role::Gateway).len() + 1;
         self.gateway_counts.record(now, gateways);
@@ -398,13 +410,13 @@
         self.configuration.is_none()
     }
 
-    /// The configuration, a roll-out or the number of gateways is another.
+    /// Recomputes everything that depends on the configuration, a roll-out, or the number of gateways.
     fn state_changed(&mut self, now: Micros) {
         self.membership_change_due = Micros::MAX;
         let mut gateways = self.node.up(Role::Gateway);
         gateways.push(self.node.own.address);
         gateways.sort_unstable();
-        let index = gateways.iter().position(|place| *place == self.node.own.address).unwrap_or(0);
+        let index = gateways.iter().position(|address| *address == self.node.own.address).unwrap_or(0);
         (self.fleet.gateways, self.fleet.gateway_index) = (gateways.len(), index);
         self.gateways.clone_from(&gateways);
         self.gateway_counts.record(now, gateways.len());
@@ -412,7 +424,7 @@
         self.retry_budget.borrow_mut().set_gateway_count(now, gateways.len());
         self.configuration = self.node.script.configuration().cloned();
         let Some(configuration) = self.configuration.clone() else { return };
-        let cap = self.settings.timer_bounds.exposure_share;
+        let exposure_cap = self.settings.timer_bounds.exposure_share;
         for service in configuration.services.keys() {
             if !self.services.contains_key(&**service) {
                 self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -438,18 +450,19 @@
             host.configuration_changed(&configuration, &self.fleet, settled);
             let share = connection_share(Some(&configuration), &service, gateways.len());
             host.set_share(share);
-            let known = self.node.cast.instances().filter(|known| *known.service == *service);
+            let instances = self.node.cast.instances().filter(|instance| *instance.service == *service);
             let own_address = self.node.own.address;
-            let known = known.map(|known| (known, share.gateways_ahead(own_address, &gateways, &known.id.0)));
-            host.instances_changed(known, rollout);
+            let instances = instances
+                .map(|instance| (instance, share.gateways_ahead(own_address, &gateways, &instance.id.0)));
+            host.instances_changed(instances, rollout);
             if let Some(rollout) = rollout {
-                host.rollout_changed(now, cap, rollout);
+                host.rollout_changed(now, exposure_cap, rollout);
             }
             self.with_service(&service, |_| {});
         }
     }
 
-    /// Tells the check what is ordered, what the tables hold, and who is there.
+    /// Reports to the intent check what is ordered, what is in force, and which nodes are up.
     fn notify_intent_checker(&mut self, now: Micros) {
         if self.intent_checker.is_none() {
             return;
@@ -464,7 +477,7 @@
         }
     }
 
-    /// Read back from what requests are handled by.
+    /// The intent in force, read back from the tables that requests are handled by.
     fn intent_in_force(&self) -> Option<Arc<Intent>> {
         let state = &self.node.script;
         Some(Arc::new(Intent::read(
@@ -488,40 +501,40 @@
                     self.state_changed(now);
                     self.notify_intent_checker(now);
                 }
-                // The replication asks by its own digests; `ready` reads the ward's door.
+                // Replication pulls by its own digests, and `ready` reads the ward's gate.
                 usher::Effect::Ward(ward::Effect::AskAgain | ward::Effect::Open(_)) => {}
-                // For the driver, in the next step.
+                // To be handled by the driver, which does not drive these yet.
                 usher::Effect::Ward(ward::Effect::Restart) | usher::Effect::Look { .. } => {}
             }
         }
     }
 
     fn instance_changed(&mut self, id: &registry::InstanceId) {
-        let Some(known) = self.node.cast.get(id) else { return };
-        let warmup = known.warm_at - known.first_seen;
+        let Some(instance) = self.node.cast.get(id) else { return };
+        let warmup = instance.warm_at - instance.first_seen;
         if warmup > self.fleet.longest_warmup {
-            self.fleet.longest_warmup = warmup.min(60 * SECOND);
+            self.fleet.longest_warmup = warmup.min(MAX_WARMUP);
         }
-        let Some(host) = self.services.get_mut(known.service.as_str()) else { return };
-        let share = connection_share(self.configuration.as_deref(), &known.service, self.gateways.len());
-        let gateways_ahead = share.gateways_ahead(self.node.own.address, &self.gateways, &known.id.0);
+        let Some(host) = self.services.get_mut(instance.service.as_str()) else { return };
+        let share = connection_share(self.configuration.as_deref(), &instance.service, self.gateways.len());
+        let gateways_ahead = share.gateways_ahead(self.node.own.address, &self.gateways, &instance.id.0);
         host.instances_changed(
-            [(known, gateways_ahead)].into_iter(),
-            self.node.script.rollouts.get(&known.service),
+            [(instance, gateways_ahead)].into_iter(),
+            self.node.script.rollouts.get(&instance.service),
         );
         let service = host.service.clone();
         self.with_service(&service, |_| {});
     }
 
-    /// A request of a service or route that is not here any more is turned back: it has not run.
+    /// Hands a request to its service. One for an unknown service or route is rejected: it has not run.
     fn request_arrived(
         &mut self, request: RequestId, service: &str, route: &str, kind: RouteKind, time_left: Micros,
     ) {
-        let found = self
+        let service_and_profile = self
             .services
             .get(service)
             .and_then(|host| Some((host.service.clone(), host.profile(route, kind)?)));
-        let Some((service, profile)) = found else {
+        let Some((service, profile)) = service_and_profile else {
             let retry_after = Some(load::retry_after(time_left));
             self.count_refusal(UNKNOWN_SERVICE);
             return self.effects.push(Effect::Reject { request, retry_after });
@@ -566,7 +579,7 @@
         }
     }
 
-    /// Lets the decisions act on something, and carries out what they ask for.
+    /// Runs `act` on the service's host, then performs the actions that the balancer asked for.
     fn with_service(&mut self, service: &Rc<str>, act: impl FnOnce(&mut ServiceHost)) {
         let Some(host) = self.services.get_mut(service) else { return };
         act(host);
@@ -645,7 +658,7 @@
         self.effects.push(Effect::StartAttempt { request, attempt, target, deadline, max_connections });
     }
 
-    /// Tells the prompters how each trial looks from here.
+    /// Sends this gateway's vote on each trial to the control nodes.
     fn send_votes(&mut self, now: Micros) {
         self.votes_due = now + VOTE_INTERVAL;
         let votes: Vec<control_state::Vote> =
@@ -661,7 +674,7 @@
     }
 }
 
-/// What each gateway may use of a service's instances; one connection where the configuration has no such service.
+/// What each gateway may use of a service's instances; one connection if the configuration has no such service.
 fn connection_share(
     configuration: Option<&Configuration>, service: &str, gateways: usize,
 ) -> ConnectionShare {
--- a/crates/playhouse/src/data_plane/service_host.rs
+++ b/crates/playhouse/src/data_plane/service_host.rs
@@ -1,5 +1,5 @@
-//! ServiceHost (one service at one gateway): hosts the decisions of `garnetdoor` for one service: names to numbers,
-//! settings handed on, and what the decisions ask for kept deadline it is carried out. It decides nothing.
+//! Hosts the balancer of `garnetdoor` for one service at one gateway: maps names to numbers, passes on settings, and
+//! queues the balancer's actions until the data plane carries them out. It decides nothing itself.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -24,7 +24,7 @@
 // Operators filter log lines by this name, which is older than the module's.
 const LOG_TARGET: &str = "playhouse::floor::desk";
 
-/// What the decisions have actions for.
+/// What the balancer has asked for.
 #[derive(Debug)]
 pub(super) enum Action {
     StartAttempt { request: RequestId, server: ServerId, deadline: Option<Micros> },
@@ -36,10 +36,10 @@
     SetTimer { at: Micros, timer: TimerKind },
 }
 
-/// Outcomes that were outcome_counts, and how many of them failed, by build and profile.
+/// Judged outcomes and how many of them failed, by build and profile.
 type OutcomeCounts = IndexMap<(BuildNo, ProfileId), (u32, u32)>;
 
-/// The host as the decisions see it.
+/// The balancer's view of its environment.
 pub struct BalancerHost {
     now: Rc<Cell<Micros>>,
     outcome_counts: Rc<RefCell<OutcomeCounts>>,
@@ -49,22 +49,23 @@
     limits: Rc<RefCell<InstanceLimits>>,
 }
 
-/// How much may go to each instance from here.
+/// Limits on what this gateway may send to each instance.
 struct InstanceLimits {
-    /// By the instances' numbers.
+    /// By instance number.
     instances: Vec<InstanceLimit>,
     share: ConnectionShare,
 }
 
-/// How much may go to one of them.
+/// The limits of one instance.
 #[derive(Clone, Copy, Default)]
 struct InstanceLimit {
-    /// How many gateways come gateways_ahead this one at it, and whether this one may use it.
+    /// How many gateways precede this one in the instance's order of gateways.
     gateways_ahead: usize,
+    /// Whether this gateway may use the instance.
     usable: bool,
-    /// Of the version on trial, and not among those that are loaded.
+    /// Runs the version on trial, but is not among the instances that receive the trial's requests.
     outside_trial: bool,
-    /// Trips that are out there.
+    /// Attempts that have not ended.
     open_attempts: usize,
 }
 
@@ -96,13 +97,13 @@
     fn set_timer(&mut self, at: Micros, timer: TimerKind) {
         self.push(Action::SetTimer { at, timer });
     }
-    // A gateway probes nothing, and the list and the changed of others come unasked.
+    // A gateway sends no probes, and the instance list and the state of peers arrive without being requested.
     fn probe(&mut self, _server: ServerId) {}
     fn send_to_peers(&mut self, _to: Option<GatewayId>, _bytes: &[u8]) {}
     fn fetch_server_list(&mut self) {}
     fn watch_server_list(&mut self, _on: bool) {}
     fn close_idle_connections(&mut self, _server: ServerId) {}
-    fn has_capacity(&self, _ticket: RequestId, server: ServerId, _build: BuildNo) -> bool {
+    fn has_capacity(&self, _request: RequestId, server: ServerId, _build: BuildNo) -> bool {
         let limits = self.limits.borrow();
         let accepts = |limit: &InstanceLimit| {
             limit.usable && !limit.outside_trial && limit.open_attempts < limits.share.connections_per_gateway
@@ -117,7 +118,7 @@
         let entry = outcome_counts.entry((build, profile)).or_default();
         *entry = (entry.0.saturating_add(1), entry.1.saturating_add(u32::from(failed)));
     }
-    fn request_refused(&mut self, _ticket: RequestId, cause: Refusal) {
+    fn request_refused(&mut self, _request: RequestId, cause: Refusal) {
         self.push(Action::RecordRefusal { cause });
     }
     fn log(&mut self, text: &str) {
@@ -125,57 +126,59 @@
     }
 }
 
-/// An instance as the host numbers it.
+/// An instance to send attempts to.
 #[derive(Clone, Debug)]
 pub struct TargetInstance {
     pub id: InstanceId,
     pub address: SocketAddrV4,
 }
 
-/// A trial that is under way: its build, since when it is known here, and its part of the requests at len.
+/// A trial in progress: its build number, since when it is in progress, and the largest fraction of requests it may receive.
 struct Trial {
-    number: u32,
+    build_number: u32,
     since: Micros,
-    cap: f64,
+    exposure_cap: f64,
 }
 
-/// Routes told of in one vote.
+/// Most routes reported in one vote.
 const MAX_ROUTES_PER_VOTE: usize = 16;
 
+/// Balancer of one service with the state that it needs at a gateway.
 pub struct ServiceHost {
     now: Rc<Cell<Micros>>,
     pub balancer: Balancer<BalancerHost>,
     pub(super) actions: Rc<RefCell<VecDeque<Action>>>,
     pub service: Rc<str>,
     balancer_settings: BalancerSettings,
-    /// What the settings were worked out from: all but the profiles' numbers, which follow.
+    /// The inputs from which the settings were computed, except the profile numbers, which follow from them.
     settings_inputs: (Arc<Configuration>, Fleet, bool),
     instances: IndexMap<InstanceId, TargetInstance>,
-    /// What the decisions were told of each, by number.
+    /// What the balancer was last told of each instance, by instance number.
     listings: Vec<ServerInfo>,
     profiles: RouteProfiles,
     budget_limits: BudgetLimits,
     announced_rollout: Option<(u32, RolloutPhase)>,
-    /// The trial that is known, and the last vote on it, with its moment.
+    /// The trial in progress.
     trial: Option<Trial>,
+    /// The balancer's last vote: build number, vote, and time.
     last_vote: Option<(u32, Vote, Micros)>,
-    /// Outcomes that were outcome_counts, by build and profile: how many, and how many failed.
+    /// Judged outcomes and failures by build and profile.
     outcome_counts: Rc<RefCell<OutcomeCounts>>,
     limits: Rc<RefCell<InstanceLimits>>,
-    /// The share, or the order of gateways at an instance, has changed since the usable instances were worked out.
+    /// The connection share or an instance's order of gateways has changed since the usable instances were computed.
     limits_changed: bool,
     zones: Vec<String>,
 }
 
 impl ServiceHost {
-    /// `now` is the time, set by whoever drives the host; `seed` moves what the decisions leave to chance.
+    /// `now` is the current time, set by the caller; `seed` determines the balancer's random choices.
     pub fn start(
         service: &str, now: Rc<Cell<Micros>>, budget_limits: BudgetLimits,
         retry_budget: Rc<RefCell<RetryBudget>>, configuration: &Arc<Configuration>, fleet: &Fleet, seed: u64,
     ) -> ServiceHost {
         let actions = Rc::new(RefCell::new(VecDeque::new()));
         let outcome_counts: Rc<RefCell<OutcomeCounts>> = Rc::default();
-        // No connection to any instance gateways_ahead the share is told.
+        // No connection to any instance until the share is set.
         let share = ConnectionShare { max_gateways: 0, connections_per_gateway: 0 };
         let limits = Rc::new(RefCell::new(InstanceLimits { instances: Vec::new(), share }));
         let host = BalancerHost {
@@ -210,7 +213,7 @@
         }
     }
 
-    /// The configuration, or what is known of the fleet, has changed.
+    /// Recomputes the balancer's settings after a change of the configuration or the fleet.
     pub fn configuration_changed(
         &mut self, configuration: &Arc<Configuration>, fleet: &Fleet, settled: bool,
     ) {
@@ -233,16 +236,18 @@
         }
     }
 
+    /// The profile of a route, as the balancer numbers it.
     pub fn profile(&self, route: &str, kind: RouteKind) -> Option<ProfileId> {
         self.profiles.profile_id(route, kind).map(ProfileId)
     }
 
+    /// The instance with this number.
     pub fn instance(&self, server: ServerId) -> Option<&TargetInstance> {
         self.instances.get_index(server.0 as usize).map(|(_, instance)| instance)
     }
 
-    /// Tells the decisions of instances as they are known now, and how many gateways come gateways_ahead this one at each: what they
-    /// were told already is not told again.
+    /// Passes changed instances on to the balancer, each with the number of gateways that precede this one in its
+    /// order of gateways.
     pub fn instances_changed<'a>(
         &mut self, known: impl Iterator<Item = (&'a registry::Instance, usize)>, rollout: Option<&Rollout>,
     ) {
@@ -259,7 +264,7 @@
         }
     }
 
-    /// Keeps which of the instances in service this gateway may use.
+    /// Recomputes which of the healthy instances this gateway may use.
     fn update_usable(&mut self) {
         let mut limits = self.limits.borrow_mut();
         let healthy = |number: &usize| self.listings[*number].condition == Condition::Healthy;
@@ -272,24 +277,24 @@
         }
     }
 
-    /// Keeps to which of the trial's instances its requests go; with none under way, none is outside_trial.
+    /// Recomputes which of the trial's instances receive its requests; without a trial, none is excluded.
     fn update_trial_limits(&mut self) {
         let mut limits = self.limits.borrow_mut();
         limits.instances.iter_mut().for_each(|limit| limit.outside_trial = false);
         let Some(trial) = &self.trial else { return };
         let on_trial = |number: &usize| {
             let listing = &self.listings[*number];
-            listing.build.0 == trial.number && listing.condition == Condition::Healthy
+            listing.build.0 == trial.build_number && listing.condition == Condition::Healthy
         };
         let numbers: Vec<usize> = (0..self.listings.len()).filter(on_trial).collect();
         let names: Vec<&str> = numbers.iter().map(|number| &*self.instances[*number].id.0).collect();
-        let in_trial = load::loaded_instances(trial.cap, &names);
+        let in_trial = load::loaded_instances(trial.exposure_cap, &names);
         for (number, in_trial) in numbers.into_iter().zip(in_trial) {
             limits.instances[number].outside_trial = !in_trial;
         }
     }
 
-    /// One of them; `None`: it never may get tickets, or nothing is new.
+    /// Updates one instance; `None` if it may never get requests or nothing has changed.
     fn update_instance(
         &mut self, known: &registry::Instance, rollout: Option<&Rollout>, gateways_ahead: usize,
     ) -> Option<ServerInfo> {
@@ -331,7 +336,7 @@
         (is_new || previous != listing).then_some(listing)
     }
 
-    /// How many gateways may use each instance, and how many connections each of them.
+    /// Sets how many gateways may use each instance, and with how many connections each.
     pub fn set_share(&mut self, share: ConnectionShare) {
         let mut limits = self.limits.borrow_mut();
         self.limits_changed |= std::mem::replace(&mut limits.share, share) != share;
@@ -344,33 +349,33 @@
         }
     }
 
-    /// Takes back the count of `attempt_started`.
+    /// Undoes `attempt_started` when the attempt ends.
     pub fn attempt_finished(&mut self, server: ServerId) {
         if let Some(limit) = self.limits.borrow_mut().instances.get_mut(server.0 as usize) {
             limit.open_attempts = limit.open_attempts.saturating_sub(1);
         }
     }
 
-    /// Tells the decisions of the service's roll-out, where that has changed.
-    pub fn rollout_changed(&mut self, now: Micros, cap: f64, rollout: &Rollout) {
+    /// Reports the service's roll-out to the balancer if it has changed.
+    pub fn rollout_changed(&mut self, now: Micros, exposure_cap: f64, rollout: &Rollout) {
         let phase = match rollout.state {
             None => return,
             Some(control_state::RolloutState::InProgress) => RolloutPhase::InTrial,
             Some(control_state::RolloutState::Completed) => RolloutPhase::Released,
             Some(control_state::RolloutState::Reverted) => RolloutPhase::RolledBack,
         };
-        let (number, since) = (rollout.build_number, rollout.state_since);
-        self.trial = rollout.is_in_progress().then_some(Trial { number, since, cap });
+        let (build_number, since) = (rollout.build_number, rollout.state_since);
+        self.trial = rollout.is_in_progress().then_some(Trial { build_number, since, exposure_cap });
         self.update_trial_limits();
         if self.announced_rollout != Some((rollout.build_number, phase)) {
-            // Older builds than the last say nothing of any to come.
+            // Builds older than the previous one no longer matter for later trials.
             self.outcome_counts.borrow_mut().retain(|(build, _), _| build.0 + 2 >= rollout.build_number);
             self.announced_rollout = Some((rollout.build_number, phase));
             self.balancer.rollout_updated(RolloutStatus {
                 build: BuildNo(rollout.build_number),
                 stage: StageNo(0),
                 phase,
-                exposure_cap: cap,
+                exposure_cap,
                 age: now - rollout.state_since,
             });
         }
@@ -378,19 +383,19 @@
 }
 
 impl ServiceHost {
-    /// The decisions have voted.
+    /// Records the balancer's vote.
     pub fn record_vote(&mut self, build: BuildNo, vote: Vote) {
         self.last_vote = Some((build.0, vote, self.now.get()));
     }
 
-    /// This gateway's word on the trial of the service, if there is one.
+    /// This gateway's vote on the service's trial, if there is one.
     pub fn current_vote(&self, now: Micros) -> Option<control_state::Vote> {
-        let Trial { number, since, .. } = *self.trial.as_ref()?;
+        let Trial { build_number, since, .. } = *self.trial.as_ref()?;
         let votes_rollback = self.last_vote.is_some_and(|(build, vote, voted_at)| {
-            build == number && vote == Vote::RollBack && now - voted_at <= VOTE_LIFETIME
+            build == build_number && vote == Vote::RollBack && now - voted_at <= VOTE_LIFETIME
         });
         let votes_promote =
-            self.last_vote.is_some_and(|(build, vote, _)| build == number && vote == Vote::Promote);
+            self.last_vote.is_some_and(|(build, vote, _)| build == build_number && vote == Vote::Promote);
         let choice = match (votes_rollback, votes_promote) {
             (true, _) => VoteChoice::RollBack,
             (_, true) => VoteChoice::Promote,
@@ -399,7 +404,7 @@
         let (service, age) = (self.service.to_string(), now - since);
         let mut vote = control_state::Vote {
             service,
-            build_number: number,
+            build_number,
             choice,
             trial_outcomes: 0,
             trial_failures: 0,
@@ -411,14 +416,14 @@
         let mut routes: IndexMap<usize, RouteTally> = IndexMap::new();
         for ((build, profile), (count, failed)) in self.outcome_counts.borrow().iter() {
             let Some(name) = self.profiles.route_name(profile.0) else { continue };
-            let is_new = || RouteTally { route: route_hash(name), ..RouteTally::default() };
-            let tally = routes.entry(profile.0).or_insert_with(is_new);
-            if build.0 == number {
+            let empty_tally = || RouteTally { route: route_hash(name), ..RouteTally::default() };
+            let tally = routes.entry(profile.0).or_insert_with(empty_tally);
+            if build.0 == build_number {
                 (tally.trial_outcomes, tally.trial_failures) =
                     (tally.trial_outcomes + count, tally.trial_failures + failed);
                 (vote.trial_outcomes, vote.trial_failures) =
                     (vote.trial_outcomes + count, vote.trial_failures + failed);
-            } else if build.0 < number {
+            } else if build.0 < build_number {
                 (tally.base_outcomes, tally.base_failures) =
                     (tally.base_outcomes + count, tally.base_failures + failed);
                 (vote.base_outcomes, vote.base_failures) =
@@ -431,7 +436,7 @@
     }
 }
 
-/// A route's name as all gateways number it alike (FNV-1a, 32 bits).
+/// Identifies a route by the same number at all gateways (FNV-1a hash of its name, 32 bits).
 fn route_hash(route: &str) -> u32 {
     route.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
--- a/crates/playhouse/src/gateway/activity.rs
+++ b/crates/playhouse/src/gateway/activity.rs
@@ -1,5 +1,5 @@
-//! Activity (over a client's connection): tells idle, sending a head, and served apart, so that each has its own
-//! bound. hyper's own time for heads runs while a connection is idle too, and can't keep them apart.
+//! Tracks whether a client connection is idle, sending a request head, or being served, so that each phase has its
+//! own time limit. hyper's own timer for heads also runs while a connection is idle and cannot tell the two apart.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -14,76 +14,78 @@
 
 use crate::house::Clock;
 
-/// How long, and for how many bytes, a client that still sends what nobody wants is read after its answer.
-/// Closed with bytes unread, the connection would be reset, and the answer be lost with it.
+/// How long, and for how many bytes, input that a client still sends is read and dropped after its answer. Closing a
+/// socket with unread bytes would reset the connection and could lose the answer.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 const LINGER_BYTES: usize = 4 << 20;
 
-/// What a connection is about, and since when.
+/// The phase of a connection and when it began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Idle(Micros),
-    /// Some of a request has come, and not its whole head.
+    /// Part of a request has arrived, but not its whole head.
     ReadingHead(Micros),
     Serving,
 }
 
-/// Shared between the connection's bytes, its service and the task that ends it.
+/// Activity of one connection, shared between its I/O, its service and the task that ends it.
 #[derive(Clone)]
 pub struct Activity {
     clock: Clock,
     phase: Rc<Cell<Phase>>,
-    /// Since when the client has taken nothing of what is to be written.
+    /// Since when the client has taken none of the bytes to be written.
     write_blocked_since: Rc<Cell<Option<Micros>>>,
-    /// Some of the request's body has not been read. Bodies, which tell it, must be `Send`.
+    /// Whether part of the request's body is unread. An `Arc`, since bodies, which update it, must be `Send`.
     unread: Arc<AtomicBool>,
 }
 
-/// What is due of a connection that is watched.
+/// What to do with a connection now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextAction {
-    /// Nothing before this.
+    /// Nothing; check again at this time.
     CheckAt(Micros),
-    /// It has been idle for too long: it may end.
+    /// It has been idle for too long: close it gracefully.
     Close,
-    /// A head has taken too long, or a client takes nothing of its answer: it is cut, to hold nothing.
+    /// A head has taken too long, or the client does not read its answer: drop the connection to free its resources.
     Abort,
 }
 
 impl Activity {
+    /// Starts idle.
     pub fn start(clock: Clock) -> Activity {
         let phase = Rc::new(Cell::new(Phase::Idle(clock.now())));
         Activity { clock, phase, write_blocked_since: Rc::default(), unread: Arc::default() }
     }
 
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Whether some of the request's body is unread; shared with the body.
+    /// Whether part of the request's body is unread; shared with the body.
     pub fn unread(&self) -> &Arc<AtomicBool> {
         &self.unread
     }
 
-    /// A whole head has been read, or its answer is done.
+    /// Records that a whole head was read (`done` is false), or that its answer is complete (`done` is true).
     pub fn request_served(&self, done: bool) {
         self.phase.set(if done { Phase::Idle(self.clock.now()) } else { Phase::Serving });
     }
 
-    /// Some bytes have come.
+    /// Records that bytes were received.
     pub fn bytes_received(&self) {
         if let Phase::Idle(_) = self.phase.get() {
             self.phase.set(Phase::ReadingHead(self.clock.now()));
         }
     }
 
-    /// Some of what is to be written could go out, or nothing of it.
+    /// Records whether a write made progress.
     pub fn write_progress(&self, progressed: bool) {
         match (progressed, self.write_blocked_since.get()) {
             (false, None) => self.write_blocked_since.set(Some(self.clock.now())),
             (true, Some(_)) => {
                 self.write_blocked_since.set(None);
-                // What came of the next head meanwhile was not waited for.
+                // The head's time limit starts anew: while the answer was blocked, nobody waited for the next head.
                 if let Phase::ReadingHead(_) = self.phase.get() {
                     self.phase.set(Phase::ReadingHead(self.clock.now()));
                 }
@@ -92,7 +94,8 @@
         }
     }
 
-    /// What is due now, by `head` and `idle` at most; a client that takes nothing has as long as an idle one.
+    /// The action now, given the limits for a head and for idleness. A client that reads nothing has as long as an
+    /// idle one.
     pub fn next_action(&self, head_timeout: Micros, idle_timeout: Micros) -> NextAction {
         let now = self.clock.now();
         if let Some(since) = self.write_blocked_since.get() {
@@ -105,7 +108,7 @@
         match self.phase.get() {
             Phase::Idle(since) if now >= since + idle_timeout => NextAction::Close,
             Phase::ReadingHead(since) if now >= since + head_timeout => NextAction::Abort,
-            // A head may begin at any moment while it is idle.
+            // While the connection is idle, a head may begin at any moment.
             Phase::Idle(since) => NextAction::CheckAt((since + idle_timeout).min(now + head_timeout)),
             Phase::ReadingHead(since) => NextAction::CheckAt(since + head_timeout),
             Phase::Serving => NextAction::CheckAt(now + head_timeout),
@@ -113,11 +116,11 @@
     }
 }
 
-/// A connection whose bytes are watched.
+/// I/O of a connection that reports to its `Activity`.
 pub struct MonitoredIo<T> {
     io: T,
     activity: Activity,
-    /// Nothing more is written; until then, and for so many bytes more, the client is read.
+    /// Set once writing is shut down: until this time, and for this many bytes, input is read and dropped.
     linger: Option<(Pin<Box<tokio::time::Sleep>>, usize)>,
 }
 
--- a/crates/playhouse/src/gateway/attempt.rs
+++ b/crates/playhouse/src/gateway/attempt.rs
@@ -1,5 +1,5 @@
-//! Attempt (one exchange with an instance): sends a request, takes the answer whole where it is small, and
-//! tells what of it is certain: run, not run, or perhaps.
+//! One attempt of a request at an instance: sends the request, reads a small answer completely, and reports what is
+//! certain about it: run, not run, or possibly run.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -21,14 +21,19 @@
 use crate::data_plane::service_host::TargetInstance;
 use crate::house::Clock;
 
+/// Identifies the request; the instance repeats it in its answer.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
+/// Time until the client's deadline, in milliseconds.
 pub const REMAINING_TIME: HeaderName = HeaderName::from_static("remaining-time");
+/// Id of the instance that is meant; another one answers 421.
 pub const TARGET_INSTANCE: HeaderName = HeaderName::from_static("target-instance");
+/// In an answer: the request was not run.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
+/// In an answer: marks it as the instance's own; a successful answer without it is not accepted.
 pub const SERVER_SEAL: HeaderName = HeaderName::from_static("server-seal");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which concern one connection only.
 const CONNECTION_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     KEEP_ALIVE,
@@ -41,37 +46,37 @@
     header::UPGRADE,
 ];
 
-/// Headers that `Connection` can't take away, whoever names them there.
+/// Headers that are not removed even if `Connection` names them.
 const MESSAGE_HEADERS: [HeaderName; 6] =
     [ATTEMPT_ID, REMAINING_TIME, SERVER_SEAL, NOT_EXECUTED, header::CONTENT_LENGTH, header::HOST];
 
-/// An answer up to this size is buffered whole before any of it is passed on, so that one that breaks off
-/// can still be exchanged for another.
+/// An answer up to this size is buffered completely before any of it is passed on, so that another attempt can
+/// replace one that breaks off.
 const MAX_BUFFERED_ANSWER_BYTES: usize = 256 << 10;
-/// How long a new connection may take to come up.
+/// Longest time for opening a connection.
 const CONNECT_TIMEOUT: Micros = SECOND;
-/// Frames of a larger answer that wait for a slow client.
+/// Frames of a larger answer that are queued for a slow client.
 const QUEUED_FRAMES: usize = 2;
 
-/// What a client has asked, in a form that can be sent more than once.
+/// A client's request in a form that can be sent more than once.
 pub struct ReplayableRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// A body too large to be kept, what was read of it first: it can go out once only.
+    /// A body too large to buffer, starting with the part already read; it can be sent only once.
     pub stream: RefCell<Option<Body>>,
-    /// There is, or was, such a body.
+    /// Whether there is, or was, such a body.
     pub is_streamed: bool,
-    /// Instances that were asked already. What one of them says twice would have this request's id.
+    /// Instances that were already tried. A duplicate answer from one of them would carry this request's id.
     pub tried: RefCell<Vec<SocketAddrV4>>,
-    /// Its route says that it may run more than once.
+    /// Whether the route allows the request to run more than once.
     pub idempotent: bool,
 }
 
-/// What became of a attempt.
+/// The result of an attempt.
 pub enum AttemptResult {
-    /// A whole answer, or the head of one whose body still comes.
+    /// A complete answer, or the head of one whose body is still being received.
     Answer {
         response: Response<Body>,
         outcome: AttemptOutcome,
@@ -79,24 +84,27 @@
     Failed(AttemptOutcome),
 }
 
+/// One attempt; `run` carries it out.
 pub struct Attempt {
     pub pool: Rc<RefCell<Pool>>,
     pub clock: Clock,
     pub target: TargetInstance,
     pub original: Rc<ReplayableRequest>,
-    /// When the client, or the route's time-out, ends it.
+    /// The client's deadline or the route's time-out, whichever is first.
     pub deadline: Micros,
+    /// Most connections to the instance from this gateway.
     pub max_connections: usize,
-    /// What the answer takes of the bytes that are pooled here.
+    /// The answer's part of the memory for buffered bodies.
     pub reservation: BodyReservation,
 }
 
-/// Gives a connection back when the attempt ends, however it does.
+/// Releases a connection to the pool when the attempt ends, in whatever way.
 struct PooledConnection {
     pool: Rc<RefCell<Pool>>,
     clock: Clock,
     address: SocketAddrV4,
     connection: Option<Connection>,
+    /// Set if the connection may be used again, with the idle time-out that the instance announced.
     reusable: Option<Option<Micros>>,
 }
 
@@ -107,6 +115,7 @@
     }
 }
 
+/// Removes headers that concern one connection only, with those that `Connection` names.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -122,6 +131,8 @@
 }
 
 impl Attempt {
+    /// Runs the attempt to its result. A request that certainly was not sent on a pooled connection is sent once more
+    /// on a new one.
     pub async fn run(self) -> AttemptResult {
         let time_left = |now: Micros| Duration::from_micros((self.deadline - now).max(0) as u64);
         let now = self.clock.now();
@@ -129,7 +140,7 @@
             return AttemptResult::Failed(AttemptOutcome::NeverSent);
         }
         let address = self.target.address;
-        // Only a connection on which this request never was can't bring an earlier answer to it.
+        // On a connection that never carried this request, no earlier answer to it can arrive.
         let mut needs_new = self.original.tried.borrow().contains(&address);
         let mut unsent: Option<Request<Body>> = None;
         loop {
@@ -167,7 +178,7 @@
                 }
                 continue;
             }
-            // What went out before and was not kept can't go again: this attempt never was.
+            // A body that was sent and not buffered cannot be sent again: this attempt was never made.
             let Some(request) = unsent.take().or_else(|| self.build_request()) else {
                 return AttemptResult::Failed(AttemptOutcome::NeverSent);
             };
@@ -181,10 +192,10 @@
                 Ok(Ok(response)) => self.read_answer(response, pooled).await,
                 Ok(Err(mut error)) => {
                     unsent = error.take_message();
-                    // The client broke its body off, or sent too much: no fault of the instance.
+                    // The client broke off its body or sent too much, which is no failure of the instance.
                     let client_failed = unsent.is_none() && error.error().is_user();
-                    // hyper did not begin it, or the kernel took none of its bytes. Nothing else is known not to
-                    // have run.
+                    // hyper did not begin the request, or the kernel took none of its bytes. In all other cases it
+                    // may have run.
                     let nothing_sent =
                         unsent.is_some() || pooled.connection.as_ref().is_some_and(Connection::is_unsent);
                     if nothing_sent
@@ -207,14 +218,14 @@
         }
     }
 
-    /// Keeps a body that has not gone out for the next attempt.
+    /// Restores a streamed body that was not sent, for the next attempt.
     fn restore_body(&self, unsent: Option<Request<Body>>) {
         if let Some(request) = unsent.filter(|_| self.original.is_streamed) {
             *self.original.stream.borrow_mut() = Some(request.into_body());
         }
     }
 
-    /// The request as it goes out; none where its body went out before and was not kept.
+    /// Builds the request to send; `None` if its body was already sent and not buffered.
     fn build_request(&self) -> Option<Request<Body>> {
         let remaining_ms = (self.deadline - self.clock.now()).max(0) / 1000;
         let body: Body = if self.original.is_streamed {
@@ -239,7 +250,7 @@
     async fn read_answer(self, response: Response<Incoming>, mut pooled: PooledConnection) -> AttemptResult {
         let (mut head, mut body) = response.into_parts();
         let status = head.status;
-        // After an answer of HTTP/1.0 hyper would speak that too, and drop bodies of unknown length.
+        // After an HTTP/1.0 answer hyper would use that version too and drop bodies of unknown length.
         let must_close =
             head.version != Version::HTTP_11
                 || head.headers.get_all(header::CONNECTION).iter().any(|value| {
@@ -247,17 +258,17 @@
                 });
         let keep_alive =
             head.headers.get(KEEP_ALIVE).and_then(|value| value.to_str().ok()).and_then(keep_alive_timeout);
-        // An answer that belongs to another request, or to none, or that is no last word (101).
+        // An answer to another request, one without the expected id, or one that is not final (101).
         let (answer_ids, request_ids) =
             (head.headers.get_all(ATTEMPT_ID), self.original.headers.get_all(ATTEMPT_ID));
         if !answer_ids.iter().eq(request_ids.iter()) || status.is_informational() {
             return AttemptResult::Failed(AttemptOutcome::Reset);
         }
-        // Without an id, what comes next can't be told from what was meant for this one.
+        // Without an id, later bytes cannot be told from the answer to this request.
         let must_close = must_close || request_ids.iter().next().is_none();
         let not_executed = head.headers.contains_key(NOT_EXECUTED);
         let chunked = is_chunked(&head.headers);
-        // Its end is seen. One that lasts until the connection ends may have been cut off.
+        // The end of the body is detectable. A body that ends with its connection may have been cut off.
         let framed = body.size_hint().exact().is_some() || chunked == Some(true);
         let invalid_success = head.headers.contains_key(header::CONTENT_ENCODING)
             || !head.headers.contains_key(SERVER_SEAL)
@@ -266,19 +277,19 @@
             return AttemptResult::Failed(AttemptOutcome::Reset);
         }
         if chunked.is_some() {
-            // It says nothing then, and what is sent on would be cut to it.
+            // `Content-Length` has no meaning then, and the forwarded body would be cut to it.
             head.headers.remove(header::CONTENT_LENGTH);
         }
         strip_connection_headers(&mut head.headers);
         let outcome = match status {
             StatusCode::MISDIRECTED_REQUEST => AttemptOutcome::Misdirected,
-            // The request itself is wrong (it has no id), wherever it goes.
+            // The request itself is invalid (it has no id), whichever instance gets it.
             StatusCode::BAD_REQUEST => AttemptOutcome::Succeeded,
             _ if not_executed => AttemptOutcome::Rejected,
             _ if status.is_server_error() => AttemptOutcome::Error,
             _ => AttemptOutcome::Succeeded,
         };
-        // To clients these statuses promise that it has not run, which here nobody has said.
+        // These statuses promise clients that the request has not run, which the instance did not say.
         let promising_statuses =
             [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS, StatusCode::SERVICE_UNAVAILABLE];
         let false_promise =
@@ -330,26 +341,26 @@
     }
 }
 
-/// Whether a message's body comes in chunks and is not coded beside; `None` without `Transfer-Encoding`.
+/// Whether a message's body is chunked without another transfer coding; `None` without `Transfer-Encoding`.
 pub fn is_chunked(headers: &HeaderMap) -> Option<bool> {
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     let first = codings.next()?;
     Some(codings.next().is_none() && first.as_bytes().trim_ascii().eq_ignore_ascii_case(b"chunked"))
 }
 
-/// Seconds told as `timeout=` in `Keep-Alive`.
+/// The time-out of a `Keep-Alive` header, from its `timeout=` parameter in seconds.
 fn keep_alive_timeout(text: &str) -> Option<Micros> {
     let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     seconds.trim().parse::<u32>().ok().map(|seconds| Micros::from(seconds) * SECOND)
 }
 
-/// A piece of a large answer. One that stops coming without its end has broken off.
+/// Part of a large answer. If the channel closes without `End`, the answer broke off.
 enum BodyPiece {
     Data(Bytes),
     End,
 }
 
-/// Hands on the keep_alive of a large answer as fast as the client takes it, until `until` or the client has gone.
+/// Forwards the rest of a large answer as fast as the client reads, until `deadline` or until the client is gone.
 async fn forward_body(
     first: Bytes, mut body: Incoming, sender: tokio::sync::mpsc::Sender<BodyPiece>,
     mut pooled: PooledConnection, must_close: bool, keep_alive: Option<Micros>,
@@ -381,6 +392,7 @@
     }
 }
 
+/// The client's side of `forward_body`.
 struct StreamedBody(tokio::sync::mpsc::Receiver<BodyPiece>);
 
 impl hyper::body::Body for StreamedBody {
@@ -397,15 +409,15 @@
     }
 }
 
-/// What was read of a large body, and then the keep_alive as it comes, up to a number of bytes.
+/// A large body: the part already read, then the rest as it arrives, up to a number of bytes.
 pub struct PrefixedBody {
     pub first: Option<Bytes>,
     pub rest: Incoming,
-    /// Bytes that may still come.
+    /// Bytes that may still arrive.
     pub bytes_left: u64,
-    /// Set when more than that came.
+    /// Set when more than that arrived.
     pub too_large: Arc<AtomicBool>,
-    /// Reset when all of it has come.
+    /// Reset when the whole body has arrived.
     pub unread: Arc<AtomicBool>,
 }
 
--- a/crates/playhouse/src/gateway/client_connections.rs
+++ b/crates/playhouse/src/gateway/client_connections.rs
@@ -1,4 +1,4 @@
-//! ClientConnections (the clients' connections that are open): how many, and which give way when there are too many.
+//! Open client connections: limits their number and chooses which ones to close when there are too many.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -8,23 +8,24 @@
 
 use super::activity::{Activity, Phase};
 
-/// Of all that may be open, so many give way at once, so that a flood costs one look at all for many of it.
-const YIELD_FRACTION: usize = 16;
+/// The fraction of the limit, as a divisor, that is asked to close at once, so that during a flood one scan of all
+/// connections serves many new ones.
+const YIELD_DIVISOR: usize = 16;
 
-/// Connections of clients, by the order of their coming.
+/// Open client connections, numbered in order of arrival.
 #[derive(Default)]
 pub struct ClientConnections {
     open: RefCell<HashMap<u64, (Activity, Rc<Notify>)>>,
     next_id: std::cell::Cell<u64>,
-    /// Rung when the last one has gone.
+    /// Notified when the last connection has closed.
     emptied: Rc<Notify>,
 }
 
-/// One connection's slot, until it is dropped.
+/// The slot of one connection, free again when it is dropped.
 pub struct ConnectionSlot {
     connections: Rc<ClientConnections>,
     id: u64,
-    /// Rung when it is to give way.
+    /// Notified when the connection is asked to close.
     pub yield_requested: Rc<Notify>,
 }
 
@@ -33,13 +34,13 @@
         self.open.borrow().len()
     }
 
-    /// A slot for one more; none where `limit` are open and all of them are served.
+    /// A slot for a new connection; `None` if `limit` are open and all of them are being served.
     pub async fn enter(
         self: &Rc<ClientConnections>, limit: usize, activity: &Activity,
     ) -> Option<ConnectionSlot> {
         if self.len() >= limit {
-            self.request_yield((limit / YIELD_FRACTION).max(1));
-            // Those that give way end in turns of their own.
+            self.request_yield((limit / YIELD_DIVISOR).max(1));
+            // The connections that were asked to close do so in their own tasks.
             tokio::task::yield_now().await;
         }
         if self.len() >= limit {
@@ -51,10 +52,11 @@
         Some(ConnectionSlot { connections: self.clone(), id, yield_requested })
     }
 
-    /// Connections without a whole request go first, the longest so before others; none that is served.
+    /// Asks up to `count` connections without a complete request to close, longest in that phase first; never one
+    /// that is being served.
     fn request_yield(&self, count: usize) {
-        let all = self.open.borrow();
-        let mut idle: Vec<_> = all
+        let open = self.open.borrow();
+        let mut idle: Vec<_> = open
             .values()
             .filter_map(|(activity, yield_requested)| match activity.phase() {
                 Phase::Idle(since) | Phase::ReadingHead(since) => Some((since, yield_requested)),
@@ -65,7 +67,7 @@
         idle.iter().take(count).for_each(|(_, yield_requested)| yield_requested.notify_one());
     }
 
-    /// Waits until nobody is left.
+    /// Waits until no connection is open.
     pub async fn wait_until_empty(&self) {
         while self.len() > 0 {
             self.emptied.notified().await;
--- a/crates/playhouse/src/gateway/connection_state.rs
+++ b/crates/playhouse/src/gateway/connection_state.rs
@@ -1,42 +1,42 @@
-//! Exchange (who owns a connection to an instance): explicit states, and the only functions that change them.
-//! No I/O: what a look at the socket told goes in, whether the connection may be used comes out.
+//! Ownership of a connection to an instance: explicit states and the only functions that change them. No I/O: the
+//! caller passes in the state of the socket and learns whether the connection may be used.
 
-/// What a connection is. One exchange owns it at a time, and none gets it that is not proved empty.
+/// State of a connection. One exchange owns it at a time, and only a connection that is proved empty is handed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Nobody's. Whatever came on it so far was asked for and has been read.
+    /// Not in use. Everything received so far was an answer to a request and has been read.
     Idle,
-    /// One exchange's, which has handed so many bytes to the kernel.
+    /// In use by one exchange, which has passed this many bytes to the kernel.
     InUse { written: u64 },
     /// Never used again.
     Closing,
 }
 
-/// What lies in a connection's socket, unread.
+/// Unread input of a connection's socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketState {
     Empty,
     /// An answer that nobody waits for, or part of one.
     Readable,
-    /// The other side has closed or reset it, or it can't be told.
+    /// The peer has closed or reset the connection, or its state is unknown.
     Closed,
 }
 
 /// How an exchange ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeEnd {
-    /// Its request went out whole, its own answer came whole, nothing came behind it, and both sides keep the
-    /// connection.
+    /// The request was sent completely, its own answer was received completely with nothing after it, and both sides
+    /// keep the connection open.
     Clean,
-    /// Anything else: balancer_settings up, cancelled, out of time, reset, another's answer, more than an answer.
+    /// Anything else: given up, cancelled, timed out, reset, an answer to another request, or more than one answer.
     Broken,
 }
 
 impl ConnectionState {
-    /// A connection that has just come up: nothing was ever asked on it.
+    /// A new connection, on which no request was ever sent.
     pub const NEW: ConnectionState = ConnectionState::Idle;
 
-    /// Hands it out, where a look at the socket just now proves it empty.
+    /// Hands out the connection if the socket has just been found empty.
     #[must_use]
     pub fn acquire(self, socket: SocketState) -> ConnectionState {
         match (self, socket) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The kernel took so many bytes. What nobody was lent writes nothing.
+    /// Records that the kernel took this many bytes. A write outside an exchange closes the connection.
     #[must_use]
     pub fn bytes_written(self, bytes: usize) -> ConnectionState {
         match self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The exchange is over. One that wrote nothing can't have an answer.
+    /// Ends the exchange. One that wrote nothing cannot have an answer.
     #[must_use]
     pub fn finish(self, end: ExchangeEnd) -> ConnectionState {
         match (self, end) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether it is known that the other side has heard nothing of this exchange.
+    /// Whether it is known that the peer received nothing of this exchange.
     pub fn is_unsent(self) -> bool {
         self == ConnectionState::InUse { written: 0 }
     }
--- a/crates/playhouse/src/gateway/frontend.rs
+++ b/crates/playhouse/src/gateway/frontend.rs
@@ -1,4 +1,4 @@
-//! Front (what clients see of a gateway): connections, reading of requests, and answers.
+//! Client side of a gateway: accepts connections, reads requests, and sends answers.
 
 use std::cell::RefCell;
 use std::pin::Pin;
@@ -29,29 +29,30 @@
 // Operators filter log lines by this name, which is older than the module's.
 const LOG_TARGET: &str = "playhouse::foyer::front";
 
-/// A request's body up to this size is kept, so that it can go to another instance.
+/// A request's body up to this size in bytes is buffered, so that it can be sent to another instance.
 const MAX_BUFFERED_BODY_BYTES: usize = 512 << 10;
-/// Client connections at once, of the descriptors that the machine has.
+/// Fraction of the machine's file descriptors for client connections.
 const CLIENT_DESCRIPTOR_SHARE: f64 = 0.6;
-/// The kernel may have buffered connections, with requests on them, that are not known here when the listener is
-/// to close: so long they are still accepted, and then read.
+/// When the listener is about to close, the kernel may have accepted connections, with requests on them, that the
+/// process has not seen: for this long they are still accepted, and their requests read.
 const FINAL_ACCEPT_WINDOW: Duration = Duration::from_millis(50);
-/// Before any configuration: bounds of a head and of idleness, and bytes of a head.
-const DEFAULT_TIMEOUTS: (Micros, Micros) = (3 * SECOND, 15 * SECOND);
+/// Limits that apply before the first configuration: time for a head, idle time, and size of a head.
+const DEFAULT_HEAD_TIMEOUT: Micros = 3 * SECOND;
+const DEFAULT_IDLE_TIMEOUT: Micros = 15 * SECOND;
 const DEFAULT_MAX_HEADER_BYTES: u64 = 16 << 10;
 const BODY_TOO_LARGE: &str = "{\"Error\":\"the body is over MaxBodyBytes\"}";
 
-/// Takes clients until told to stop; then ends idle connections and lets the others finish.
+/// Accepts clients until told to stop; then ends idle connections and lets the others finish.
 pub async fn serve(
     listener: TcpListener, shared: Shared, connections: Rc<ClientConnections>,
     stopping: watch::Receiver<bool>,
 ) {
-    let max_bytes =
+    let max_clients =
         (shared.borrow().settings.limit_set.fd_limit * CLIENT_DESCRIPTOR_SHARE).max(64.0) as usize;
     let accept_client = async |stream| {
         let activity = Activity::start(shared.borrow().clock);
-        // Without a slot it is closed unread, so that the client may go elsewhere.
-        if let Some(slot) = connections.enter(max_bytes, &activity).await {
+        // Without a slot the connection is closed unread, so that the client can try elsewhere.
+        if let Some(slot) = connections.enter(max_clients, &activity).await {
             crate::tasks::spawn_local(serve_connection(
                 stream,
                 shared.clone(),
@@ -68,7 +69,7 @@
             _ = stop_signal.changed() => break,
         }
     }
-    // Those that the kernel has buffered already would be reset.
+    // Connections that the kernel has already accepted would otherwise be reset.
     let accept_rest = async {
         loop {
             accept_client(crate::listen::accept(&listener).await).await;
@@ -77,7 +78,7 @@
     let _: Result<(), _> = tokio::time::timeout(FINAL_ACCEPT_WINDOW, accept_rest).await;
 }
 
-/// One client's connection, to its end.
+/// Serves one client connection until it ends.
 async fn serve_connection(
     stream: TcpStream, shared: Shared, activity: Activity, slot: ConnectionSlot,
     mut stopping: watch::Receiver<bool>,
@@ -86,15 +87,17 @@
         let gateway = shared.borrow();
         (gateway.clock, gateway.data_plane.configuration().map(|configuration| configuration.limits))
     };
-    let (head_timeout, idle_timeout) =
-        limits.map_or(DEFAULT_TIMEOUTS, |limits| (limits.header_timeout, limits.idle_timeout));
-    let header_bytes = limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes);
+    let (head_timeout, idle_timeout) = limits
+        .map_or((DEFAULT_HEAD_TIMEOUT, DEFAULT_IDLE_TIMEOUT), |limits| {
+            (limits.header_timeout, limits.idle_timeout)
+        });
+    let max_header_bytes = limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes);
     let service = hyper::service::service_fn(|request| {
         let (shared, activity) = (shared.clone(), activity.clone());
         activity.request_served(false);
         async move {
             let mut answer = answer(shared, request, &activity).await;
-            // A second less, so that a client that heeds it never meets the end.
+            // One second less, so that a client that honours it never runs into the close.
             if idle_timeout >= 3 * SECOND && !answer.headers().contains_key(header::CONNECTION) {
                 let keep_alive = format!("timeout={}", idle_timeout / SECOND - 1);
                 if let Ok(value) = HeaderValue::from_str(&keep_alive) {
@@ -107,15 +110,15 @@
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
-        .max_header_size(header_bytes as usize)
-        .max_buf_size((header_bytes as usize).clamp(8192, 1 << 20))
+        .max_header_size(max_header_bytes as usize)
+        .max_buf_size((max_header_bytes as usize).clamp(8192, 1 << 20))
         .serve_connection(MonitoredIo::new(TokioIo::new(stream), activity.clone()), service);
     let mut connection = std::pin::pin!(connection);
     let (mut check_at, mut shutdown_begun, accepted_late) =
         (clock.now() + head_timeout.min(idle_timeout), false, *stopping.borrow());
     let ended = loop {
         tokio::select! {
-            // First, so that a request that is there already is read before the end.
+            // Polled first, so that a request that has already arrived is read before the connection ends.
             biased;
             ended = connection.as_mut() => break ended,
             () = async {
@@ -147,7 +150,7 @@
     }
 }
 
-/// An answer's body; its request is served until this is dropped.
+/// An answer's body; its request counts as being served until this is dropped.
 struct AnswerBody {
     body: Body,
     activity: Activity,
@@ -175,10 +178,10 @@
     }
 }
 
-/// A platform's connection that asks nothing is closed after this.
+/// A connection for readiness checks that sends no request is closed after this time.
 const READINESS_HEAD_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Answers the platform's question whether clients may be sent here.
+/// Answers the platform's readiness checks, and requests for the status.
 pub async fn readiness(listener: TcpListener, shared: Shared) {
     let answer = move |request: Request<Incoming>| {
         let answer = match request.uri().path() {
@@ -215,7 +218,7 @@
     answer
 }
 
-/// Tells the gateway when a client has gone before its answer, or has it.
+/// Reports to the gateway, when dropped, that the client has its answer or has disconnected.
 struct RequestGuard {
     shared: Shared,
     id: RequestId,
@@ -230,15 +233,15 @@
 async fn answer(shared: Shared, request: Request<Incoming>, activity: &Activity) -> Response<Body> {
     activity.unread().store(!request.body().is_end_stream(), Ordering::Relaxed);
     let mut answer = respond(&shared, request, activity.unread()).await;
-    // Nothing can follow a body that was not read whole.
+    // No other request can follow on the connection if the body was not read completely.
     if shared.borrow().data_plane.leaving() || activity.unread().load(Ordering::Relaxed) {
         answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     answer
 }
 
-/// Brings a request's target to the form that instances are asked in, a path and a query; where it named a
-/// host, that one holds (RFC 9112, 3.2.2). `None` where it can't be told what is asked.
+/// Converts the request target to origin form, a path and a query; a host in the target takes precedence (RFC 9112,
+/// 3.2.2). `None` if the target is ambiguous.
 fn origin_form(head: &mut hyper::http::request::Parts) -> Option<()> {
     if head.headers.get_all(header::HOST).iter().count() > 1 || head.method == hyper::Method::CONNECT {
         return None;
@@ -252,6 +255,7 @@
     Some(())
 }
 
+/// Reads the body, finds the route, and waits for the answer; `unread` is reset once the whole body has been read.
 async fn respond(shared: &Shared, request: Request<Incoming>, unread: &Arc<AtomicBool>) -> Response<Body> {
     let (received_at, configuration, mut reservation) = {
         let gateway = shared.borrow();
@@ -279,7 +283,7 @@
         return plain(StatusCode::PAYLOAD_TOO_LARGE, BODY_TOO_LARGE);
     }
     let mut buffered = BytesMut::new();
-    let wait = Duration::from_micros(time_left.max(0) as u64);
+    let read_timeout = Duration::from_micros(time_left.max(0) as u64);
     let read = async {
         while buffered.len() <= MAX_BUFFERED_BODY_BYTES && reservation.grow_to(buffered.capacity()) {
             let Some(frame) = body.frame().await else { return Ok(true) };
@@ -289,14 +293,14 @@
         }
         Ok::<_, hyper::Error>(false)
     };
-    let streams = match tokio::time::timeout(wait, read).await {
+    let is_streamed = match tokio::time::timeout(read_timeout, read).await {
         Ok(Ok(whole)) => !whole,
         Ok(Err(_)) => return plain(StatusCode::BAD_REQUEST, "{\"Error\":\"the body broke off\"}"),
         Err(_) => {
             return plain(StatusCode::REQUEST_TIMEOUT, "{\"Error\":\"the body did not come in time\"}");
         }
     };
-    if !streams || body.is_end_stream() {
+    if !is_streamed || body.is_end_stream() {
         unread.store(false, Ordering::Relaxed);
     }
     let Some(rest_bytes) = max_bytes.checked_sub(buffered.len() as u64) else {
@@ -305,7 +309,7 @@
     strip_connection_headers(&mut head.headers);
     head.headers.remove(header::EXPECT);
     let (buffered, too_large) = (reservation.keep(buffered), Arc::<AtomicBool>::default());
-    let stream = streams.then(|| {
+    let stream = is_streamed.then(|| {
         let (first, unread) = (Some(buffered.clone()), unread.clone());
         PrefixedBody { first, rest: body, bytes_left: rest_bytes, too_large: too_large.clone(), unread }
             .boxed_unsync()
@@ -314,9 +318,9 @@
         method: head.method,
         uri: head.uri,
         headers: head.headers,
-        body: if streams { Bytes::new() } else { buffered },
+        body: if is_streamed { Bytes::new() } else { buffered },
         stream: RefCell::new(stream),
-        is_streamed: streams,
+        is_streamed,
         tried: RefCell::default(),
         idempotent: route.kind.is_idempotent(),
     };
@@ -331,18 +335,18 @@
     }
 }
 
-/// One of the route's services, by weight.
+/// Chooses one of the route's services at random, by weight.
 fn pick_service(route: &configuration::Route) -> Option<&str> {
     if let [only] = route.targets.as_slice() {
         return Some(&only.service);
     }
     let total_weight: f64 = route.targets.iter().map(|target| target.weight).sum();
-    let mut remaining_weight = (crate::house::chance() >> 11) as f64 / (1u64 << 53) as f64 * total_weight;
+    let mut draw = (crate::house::chance() >> 11) as f64 / (1u64 << 53) as f64 * total_weight;
     for target in &route.targets {
-        if remaining_weight < target.weight {
+        if draw < target.weight {
             return Some(&target.service);
         }
-        remaining_weight -= target.weight;
+        draw -= target.weight;
     }
     route.targets.iter().rev().find(|target| target.weight > 0.0).map(|target| &*target.service)
 }
--- a/crates/playhouse/src/gateway/mod.rs
+++ b/crates/playhouse/src/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! Gateway (data plane): takes requests from clients and has them answered by instances; which, whether and
-//! how often is decided in `garnetdoor`. A driver: sockets, timers, signals.
+//! Gateway role: accepts client requests and forwards them to instances. The `garnetdoor` library decides which
+//! instance is asked, whether, and how often; this module is the driver with sockets, timers and signals.
 
 #[doc(hidden)]
 pub mod activity;
@@ -42,20 +42,27 @@
 // Operators filter log lines by this name, which is older than the module's.
 const LOG_TARGET: &str = "playhouse::foyer";
 
-/// After SIGTERM the platform may still hand over clients until it has missed readiness twice.
+/// How long clients are accepted after SIGTERM: the platform may still send some until the readiness check has failed
+/// twice.
 const ACCEPT_AFTER_LEAVE: Duration = Duration::from_millis(2_600);
-/// Of `GraceS`, so much is left for the end itself.
+/// Part of `GraceS` that is reserved for ending the process.
 const END_MARGIN: Duration = Duration::from_millis(700);
-/// Of that, so much for the last answers to leave.
+/// Part of `END_MARGIN` for sending the last answers.
 const FINAL_ANSWER_WINDOW: Duration = Duration::from_millis(400);
+const FRONTEND_BACKLOG: i32 = 1024;
+const READINESS_BACKLOG: i32 = 64;
+/// How often idle connections are checked for expiry.
 const POOL_EVICTION_INTERVAL: Micros = SECOND;
 
-/// How a request ends_at.
+/// Retry delay if the balancer gives none.
+const DEFAULT_RETRY_AFTER: Micros = 100 * MS;
+
+/// How a request ends.
 pub enum Reply {
     Answer(Response<Body>),
-    /// Not run and never will be; with a time to come back.
+    /// Not run and never will be, with the delay before a retry.
     Rejected(Option<Micros>),
-    /// Nothing is promised.
+    /// No promise that it did not run.
     Failed,
 }
 
@@ -65,10 +72,11 @@
     deadline: Micros,
     attempts: Vec<tokio::task::AbortHandle>,
     reply_sender: Option<oneshot::Sender<Reply>>,
-    /// What an instance answered that failed: passed on if nothing better comes.
+    /// An instance's error answer, passed on if no attempt gets a better one.
     fallback: Option<Response<Body>>,
 }
 
+/// State of the gateway process, shared by its tasks.
 pub struct Gateway {
     data_plane: DataPlane,
     transport: Rc<SocketTransport>,
@@ -82,11 +90,11 @@
     wake_loop: Rc<tokio::sync::Notify>,
 }
 
+/// The gateway as its tasks share it.
 pub type Shared = Rc<RefCell<Gateway>>;
 type BoxError = Box<dyn std::error::Error>;
 
-/// Runs until the process is now to end.
-/// `metrics` is the port where they are served, if any.
+/// Runs the gateway until the process is told to end. `metrics_port` is the port that metrics are served on, if any.
 pub async fn run(settings: Rc<Settings>, metrics_port: Option<u16>) -> Result<(), BoxError> {
     let clock = Clock::start();
     let frontend = settings.listen_addresses.frontend.ok_or("ListenAddresses.Frontend is missing")?;
@@ -117,7 +125,7 @@
         metrics::spawn(SocketAddrV4::new(settings.ip_address, port), shared.clone());
     }
     let (stop_accepting, stopping) = tokio::sync::watch::channel(false);
-    let listener = crate::listen::bind_when_free(frontend, 1024)?;
+    let listener = crate::listen::bind_when_free(frontend, FRONTEND_BACKLOG)?;
     let connections: Rc<ClientConnections> = Rc::default();
     let clients = crate::tasks::spawn_local(frontend::serve(
         listener,
@@ -126,7 +134,7 @@
         stopping.clone(),
     ));
     crate::tasks::spawn_local(frontend::readiness(
-        crate::listen::bind_when_free(readiness, 64)?,
+        crate::listen::bind_when_free(readiness, READINESS_BACKLOG)?,
         shared.clone(),
     ));
     let mut signals = Signals::start()?;
@@ -145,17 +153,17 @@
             }
         }
         tokio::select! {
-            arrived = messages.recv() => {
-                let Some(arrived) = arrived else { return Err("the post has gone".into()) };
+            received = messages.recv() => {
+                let Some(message) = received else { return Err("the transport has closed".into()) };
                 let mut gateway = shared.borrow_mut();
-                gateway.message_received(&shared, &arrived);
-                while let Ok(arrived) = messages.try_recv() {
-                    gateway.message_received(&shared, &arrived);
+                gateway.message_received(&shared, &message);
+                while let Ok(message) = messages.try_recv() {
+                    gateway.message_received(&shared, &message);
                 }
             }
             _ = tokio::time::sleep_until(due) => shared.borrow_mut().tick(&shared),
             _ = wake_loop.notified() => {}
-            // All that was taken has been answered to the last byte.
+            // All accepted requests are answered completely.
             () = connections.wait_until_empty(), if *stop_accepting.borrow() && clients.is_finished() => break,
             signal = signals.next() => match signal {
                 SignalEvent::Terminate if ends_at.is_none() => {
@@ -212,8 +220,8 @@
         }
     }
 
-    fn message_received(&mut self, shared: &Shared, arrived: &ReceivedMessage) {
-        let ReceivedMessage { from, bytes, carrier } = arrived;
+    fn message_received(&mut self, shared: &Shared, message: &ReceivedMessage) {
+        let ReceivedMessage { from, bytes, carrier } = message;
         self.step(shared, Input::MessageReceived { from: NodeAddress(*from), bytes, carrier: *carrier });
     }
 
@@ -236,7 +244,7 @@
         }
     }
 
-    /// A request whose head, and as much of its body as is kept, has been read.
+    /// Opens a request whose head, and as much of its body as is buffered, has been read.
     fn request_arrived(
         &mut self, shared: &Shared, service: &str, route: &configuration::Route, original: ReplayableRequest,
         deadline: Micros,
@@ -258,12 +266,12 @@
         let time_left = deadline - self.clock.now();
         let (route, kind) = (&*route.name, route.kind);
         self.step(shared, Input::RequestArrived { request, service, route, kind, time_left });
-        // The loop waits for what was due before.
+        // The main loop sleeps until a due time from before this request.
         self.wake_loop.notify_one();
         (request, receiver)
     }
 
-    /// The client has gone, or has its answer.
+    /// Closes a request: the client has its answer or has disconnected.
     fn request_closed(&mut self, shared: &Shared, request: RequestId) {
         self.step(shared, Input::RequestClosed { request });
         self.open_requests.remove(&request);
@@ -288,10 +296,10 @@
         let deadline = deadline.unwrap_or(open.deadline).min(open.deadline);
         let (pool, clock, original) = (self.pool.clone(), self.clock, open.original.clone());
         let reservation = self.body_budget.reservation();
-        let running = Attempt { pool, clock, target, original, deadline, max_connections, reservation };
+        let attempt_run = Attempt { pool, clock, target, original, deadline, max_connections, reservation };
         let (gateway, sent) = (shared.clone(), clock.now());
         let task = crate::tasks::spawn_local(async move {
-            let result = running.run().await;
+            let result = attempt_run.run().await;
             let mut gateway_state = gateway.borrow_mut();
             let elapsed = clock.now() - sent;
             gateway_state.attempt_ended(&gateway, request, attempt, elapsed, result);
@@ -307,7 +315,7 @@
         let idempotent = open.original.idempotent;
         let (outcome, answered) = match result {
             AttemptResult::Failed(outcome) => (outcome, open.reply_sender.is_none()),
-            // What an instance says of its own failure may be original again elsewhere where that does no harm.
+            // An instance's error answer may be retried elsewhere if the request is idempotent.
             AttemptResult::Answer { response, outcome: AttemptOutcome::Error } if idempotent => {
                 open.fallback = Some(response);
                 (AttemptOutcome::Error, open.reply_sender.is_none())
@@ -324,7 +332,7 @@
     }
 }
 
-/// A time to come back as clients read it, in seconds.
+/// A retry delay as the value of `Retry-After`, in seconds.
 fn retry_after_seconds(retry_after: Option<Micros>) -> String {
-    format!("{:.3}", retry_after.unwrap_or(100 * MS) as f64 / 1e6)
+    format!("{:.3}", retry_after.unwrap_or(DEFAULT_RETRY_AFTER) as f64 / 1e6)
 }
--- a/crates/playhouse/src/gateway/pool.rs
+++ b/crates/playhouse/src/gateway/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to instances: made, kept while idle, and handed out again.
+//! Pool of connections to instances: opens them, keeps them while idle, and hands them out again.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -24,25 +24,27 @@
 // Operators filter log lines by this name, which is older than the module's.
 const LOG_TARGET: &str = "playhouse::foyer::pool";
 
+/// Error while reading or sending a body.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
+/// Body of a request or an answer.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A connection to an instance. Dropped, it is closed at once, whatever is still under way on it: what it
-/// would still bring belongs to no request, and what it still takes counts at the instance.
+/// A connection to an instance. Dropping it closes it at once, even with an exchange in progress: any answer still to
+/// come belongs to no request, and left open it would still take up capacity of the instance.
 pub struct Connection {
     pub sender: SendRequest<Body>,
     task: tokio::task::AbortHandle,
     socket: Rc<SharedSocket>,
 }
 
-/// What the connection's task and its owner share.
+/// State shared by the connection's task and its owner.
 struct SharedSocket {
     io: RefCell<TokioIo<TcpStream>>,
     state: Cell<ConnectionState>,
 }
 
 impl SharedSocket {
-    /// Looks at the socket itself: the runtime learns of bytes only when it asks the kernel next, and hyper
+    /// Checks the socket itself: the runtime learns of received bytes only at its next poll of the kernel, and hyper
     /// writes before that.
     fn socket_state(&self) -> SocketState {
         let io = self.io.borrow();
@@ -56,7 +58,7 @@
 }
 
 impl Connection {
-    /// Takes it for one exchange; `false` where it is not proved empty, and it is never used then.
+    /// Takes the connection for one exchange; `false` if it is not proved empty, and then it must never be used.
     fn acquire(&self) -> bool {
         self.socket.state.set(self.socket.state.get().acquire(self.socket_state()));
         self.is_unsent()
@@ -67,12 +69,13 @@
         self.socket.state.get()
     }
 
-    /// Whether it is known that the instance has heard nothing of this exchange.
+    /// Whether it is known that none of the exchange's bytes were sent.
     pub fn is_unsent(&self) -> bool {
         self.socket.state.get().is_unsent()
     }
 
-    /// What lies unread in it now. One that hyper has closed, or that still works on what it was asked, is ended.
+    /// State of the socket's input. Reported as closed if hyper has closed the connection or it is still busy with
+    /// its last request.
     fn socket_state(&self) -> SocketState {
         if self.sender.is_ready() { self.socket.socket_state() } else { SocketState::Closed }
     }
@@ -84,16 +87,19 @@
     }
 }
 
-/// How long a connection lies idle at max_connections where the instance has keep_alive nothing of its own: well under what
-/// servers usually keep, since one that crosses its closing may have run.
+/// Longest idle time if the instance announces none. It is well under the usual idle time-out of servers, since a
+/// request that crosses the server's close may have run.
 const DEFAULT_IDLE_LIFETIME: Micros = 4 * SECOND;
-/// Of what an instance tells in `Keep-Alive`, so much is left for the way there.
+/// Subtracted from the time-out that an instance announces in `Keep-Alive`, to allow for the transit time.
 const KEEP_ALIVE_MARGIN: Micros = SECOND;
-/// Bytes read ahead of what is wanted, and of an answer's head, on one connection.
+/// Upper limit of the idle time, whatever the instance announces.
+const MAX_IDLE_LIFETIME: Micros = 60 * SECOND;
+/// Limit per connection on bytes read ahead and on the size of an answer's head.
 const READ_AHEAD_BYTES: usize = 64 << 10;
-/// A connection that takes none of what is written for so long is broken; guards against cut links.
+/// A connection whose written bytes are not acknowledged within this time is broken; detects links that were cut.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// A connection that waits for its next exchange.
 struct IdleConnection {
     connection: Connection,
     expires_at: Micros,
@@ -106,13 +112,14 @@
     in_use: usize,
 }
 
+/// Connections to instances, by address.
 #[derive(Default)]
 pub struct Pool {
     by_address: HashMap<SocketAddrV4, AddressConnections>,
 }
 
 impl Pool {
-    /// An idle connection that is proved empty, the one used last first, so that the others can end.
+    /// Takes the most recently used idle connection that is proved empty; the others can then expire.
     pub fn take(&mut self, now: Micros, address: SocketAddrV4) -> Option<Connection> {
         let connections = self.by_address.get_mut(&address)?;
         while let Some(idle) = connections.idle.pop() {
@@ -124,8 +131,8 @@
         None
     }
 
-    /// Whether one more may be made, of `max_connections`; it then counts as made. Where only idle ones stand in its way, they
-    /// are none that may be used for this, and the one that has lain longest goes.
+    /// Reserves one more connection, of `max_connections`; false if there is no room. If only idle connections stand
+    /// in the way, they cannot be used for this request, and the one idle for longest is closed.
     pub fn reserve(&mut self, now: Micros, address: SocketAddrV4, max_connections: usize) -> bool {
         let connections = self.by_address.entry(address).or_default();
         connections.idle.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
@@ -139,7 +146,8 @@
         true
     }
 
-    /// A connection that was handed out is not used any more, or has served one request whole.
+    /// Releases a connection that was handed out, or only its slot if `connection` is `None`. A connection is kept if
+    /// it has served its request completely; `keep_alive` is the idle time-out that the instance announced.
     pub fn release(
         &mut self, now: Micros, address: SocketAddrV4, connection: Option<Connection>,
         keep_alive: Option<Micros>,
@@ -148,9 +156,10 @@
         connections.in_use = connections.in_use.saturating_sub(1);
         let lifetime = keep_alive
             .map_or(DEFAULT_IDLE_LIFETIME, |keep_alive| keep_alive - KEEP_ALIVE_MARGIN)
-            .min(60 * SECOND);
+            .min(MAX_IDLE_LIFETIME);
         let Some(connection) = connection else { return };
-        // One that is not ready still writes a request whose answer has come already, or has read more than that.
+        // If not ready, hyper is still writing a request whose answer has already arrived, or has read more than the
+        // answer.
         let reusable = lifetime > 0 && connection.sender.is_ready();
         if connection.finish(if reusable { ExchangeEnd::Clean } else { ExchangeEnd::Broken })
             == ConnectionState::Idle
@@ -159,7 +168,7 @@
         }
     }
 
-    /// What lies unread in the idle connections to an address.
+    /// State of the input of each idle connection to an address.
     pub fn idle_socket_states(&self, address: SocketAddrV4) -> Vec<SocketState> {
         let connections = self.by_address.get(&address);
         connections.map_or_else(Vec::new, |connections| {
@@ -167,7 +176,7 @@
         })
     }
 
-    /// Ends what has lain idle for too long, and forgets addresses without connections.
+    /// Closes connections that were idle for too long, and forgets addresses without connections.
     pub fn evict_expired(&mut self, now: Micros) {
         self.by_address.retain(|_, connections| {
             connections.idle.retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
@@ -176,7 +185,7 @@
     }
 }
 
-/// Connects; what the caller waits for at max_connections is the caller's.
+/// Connects to an instance. The caller limits the time.
 pub async fn connect(address: SocketAddrV4) -> std::io::Result<Connection> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
@@ -187,7 +196,7 @@
 }
 
 async fn handshake(stream: TcpStream) -> hyper::Result<Connection> {
-    // One that has just come up is lent to whom it was made for.
+    // A new connection is in use by the exchange that it was opened for.
     let state = Cell::new(ConnectionState::NEW.acquire(SocketState::Empty));
     let socket = Rc::new(SharedSocket { io: RefCell::new(TokioIo::new(stream)), state });
     let (sender, connection) = Builder::new()
@@ -203,7 +212,7 @@
     Ok(Connection { sender, task: task.abort_handle(), socket })
 }
 
-/// A connection whose written bytes are counted.
+/// I/O that counts the bytes written.
 struct CountedIo(Rc<SharedSocket>);
 
 impl CountedIo {
--- a/crates/playhouse/src/listen.rs
+++ b/crates/playhouse/src/listen.rs
@@ -11,7 +11,7 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Binds an address that an earlier life of this process may have left in use.
+/// Binds an address that an earlier run of this process may have left in use.
 pub fn bind(at: SocketAddrV4, backlog: i32) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -21,12 +21,13 @@
     TcpListener::from_std(socket.into())
 }
 
-/// The same, where another process may hold the address for a moment longer: tried again for a while.
+/// Binds like `bind`, but retries for a while, since another process may hold the address a moment longer.
 pub fn bind_when_free(at: SocketAddrV4, backlog: i32) -> std::io::Result<TcpListener> {
     garnetdoor_bind::bind_with_retry(at, || bind(at, backlog), |error| log::warn!("{error}; tried again"))
 }
 
-/// What can't be accepted now (descriptors at their end) is tried again after a while, without spinning.
+/// Accepts the next connection. Failures, such as running out of file descriptors, are retried after 20 ms instead of
+/// in a busy loop.
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -42,7 +43,7 @@
     }
 }
 
-/// Serves each connection as HTTP/1.1 in a task of its own, without an end. A caller that sends no request within
+/// Serves each connection as HTTP/1.1 in its own task and never returns. A connection that sends no request within
 /// `head_timeout` is closed.
 pub async fn serve<A, F, B>(listener: TcpListener, head_timeout: Duration, answer: A)
 where
--- a/crates/playhouse/src/metrics.rs
+++ b/crates/playhouse/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics: what a process tells of itself, as the text that Prometheus reads, on a port of its own. The values are read
-//! where they are kept at each request, so that nothing is spent on them in between.
+//! Metrics of a process in the text format of Prometheus, served on a separate port. Values are read where they are
+//! stored when a scrape arrives, so that collecting them costs nothing in between.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -22,18 +22,18 @@
 
 const PATH: &str = "/metrics";
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// A scraper that sends no request within this is closed.
+/// A scraper that sends no request within this time is disconnected.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 const BACKLOG: i32 = 8;
 
-/// The metrics of one process, gathered for one answer.
+/// The metrics of one process, collected for one scrape.
 pub struct Metrics(Registry);
 
 impl Metrics {
-    /// What gateways and control machines have in common.
-    pub fn for_node(house: &House, stats: TransportStats) -> Metrics {
+    /// The metrics that gateways and control nodes have in common.
+    pub fn for_node(node: &House, stats: TransportStats) -> Metrics {
         let mut metrics = Metrics(Registry::with_prefix("garnetdoor"));
-        let replication = house.board.stats();
+        let replication = node.board.stats();
         metrics.gauge("news_held_index", "Last ordered command held here", replication.held_index.0);
         metrics.gauge("news_known_index", "Newest ordered command heard of", replication.known_index.0);
         metrics.counter("news_asks", "Asks for missing commands", replication.pulls);
@@ -47,8 +47,8 @@
             "Longest time behind",
             replication.longest_gap.max(0) as u64,
         );
-        let watches = house.board.watch_stats();
-        if let Some(age) = house.news_age() {
+        let watches = node.board.watch_stats();
+        if let Some(age) = node.news_age() {
             metrics.gauge("news_age_micros", "Age of what is held, as proved", age as u64);
         }
         metrics.counter(
@@ -61,40 +61,38 @@
             "Control machines left as their news was old",
             watches.dropped_stale,
         );
-        metrics.gauge("watchers", "Gateways that watch this control machine", house.watchers() as u64);
-        metrics.gauge("watchers_held_dead", "Of these, held dead here", house.watchers_held_dead() as u64);
-        metrics.counter("commands_not_taken", "Commands that changed nothing", house.not_taken());
-        metrics.counter("words_refused", "Messages of forms not read here", house.refused());
-        metrics.gauge(
-            "control_machines_up",
-            "Others, as seen here",
-            house.up(Role::ControlNode).len() as u64,
-        );
-        metrics.gauge("gateways_up", "Others, as seen here", house.up(Role::Gateway).len() as u64);
-        metrics.counter("members_declared_dead", "Members held dead, in turn", house.declared_dead());
+        metrics.gauge("watchers", "Gateways that watch this control machine", node.watchers() as u64);
+        metrics.gauge("watchers_held_dead", "Of these, held dead here", node.watchers_held_dead() as u64);
+        metrics.counter("commands_not_taken", "Commands that changed nothing", node.not_taken());
+        metrics.counter("words_refused", "Messages of forms not read here", node.refused());
+        metrics.gauge("control_machines_up", "Others, as seen here", node.up(Role::ControlNode).len() as u64);
+        metrics.gauge("gateways_up", "Others, as seen here", node.up(Role::Gateway).len() as u64);
+        metrics.counter("members_declared_dead", "Members held dead, in turn", node.declared_dead());
         metrics.counter("datagrams_sent", "Datagrams given to the system", stats.datagrams_sent);
         metrics.counter("datagrams_refused", "Datagrams not taken by the system", stats.datagrams_refused);
         metrics.counter("datagrams_received", "Datagrams received", stats.datagrams_received);
         metrics.counter("datagrams_dropped", "Datagrams dropped for want of room", stats.datagrams_dropped);
-        metrics.gauge("peers_by_stream", "Nodes not left to datagrams now", house.streams() as u64);
-        metrics.gauge("link_strained", "Own datagrams seem to be lost", u64::from(house.strained()));
+        metrics.gauge("peers_by_stream", "Nodes not left to datagrams now", node.streams() as u64);
+        metrics.gauge("link_strained", "Own datagrams seem to be lost", u64::from(node.strained()));
         metrics.counter("stream_messages_sent", "Messages queued for streams", stats.stream_messages_sent);
         metrics
     }
 
+    /// Adds a gauge; values above `i64::MAX` are capped.
     pub fn gauge(&mut self, name: &str, help: &str, value: u64) {
         let gauge: Gauge = Gauge::default();
         gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
         self.0.register(name, help, gauge);
     }
 
+    /// Adds a counter, exported with the suffix `_total`.
     pub fn counter(&mut self, name: &str, help: &str, value: u64) {
         let counter: Counter = Counter::default();
         counter.inc_by(value);
         self.0.register(name, help, counter);
     }
 
-    /// A counter for each value of one label.
+    /// Adds a counter with one series for each value of a label.
     pub fn labeled_counter<'a>(
         &mut self, name: &str, help: &str, label: &str, values: impl Iterator<Item = (&'a str, u64)>,
     ) {
@@ -105,20 +103,21 @@
         self.0.register(name, help, family);
     }
 
+    /// The metrics in OpenMetrics text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Into memory, of plain numbers: there is nothing that could fail.
+        // Plain numbers written into memory cannot fail.
         let _ = encode(&mut text, &self.0);
         text
     }
 }
 
-/// What can tell metrics of itself.
+/// A process that provides metrics.
 pub trait MetricsSource {
     fn metrics(&self) -> Metrics;
 }
 
-/// Serves metrics at an address, if it can be had; a process without them goes on.
+/// Serves metrics at an address; if it cannot be bound, the process runs on without them.
 pub fn spawn<T: MetricsSource + 'static>(at: SocketAddrV4, source: Rc<RefCell<T>>) {
     match crate::listen::bind(at, BACKLOG) {
         Ok(listener) => {
--- a/crates/playhouse/src/signals.rs
+++ b/crates/playhouse/src/signals.rs
@@ -1,12 +1,14 @@
-//! SIGTERM and SIGHUP as events.
+//! Process signals as events.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
+/// SIGTERM and SIGINT terminate, SIGHUP reloads the settings.
 pub enum SignalEvent {
     Terminate,
     Reload,
 }
 
+/// Receives the process's signals.
 pub struct Signals {
     term: Signal,
     int: Signal,
@@ -22,6 +24,7 @@
         })
     }
 
+    /// Waits for the next signal.
     pub async fn next(&mut self) -> SignalEvent {
         tokio::select! {
             _ = self.term.recv() => SignalEvent::Terminate,
--- a/crates/playhouse/src/tasks.rs
+++ b/crates/playhouse/src/tasks.rs
@@ -1,14 +1,15 @@
-//! Tasks beside the main loop, none of which may break an invariant and leave the rest to go on.
+//! Tasks beside the main loop. A panic in any of them ends the process, so that none can break an invariant while the
+//! rest goes on.
 
 use std::future::Future;
 
 use tokio::task::JoinHandle;
 
-/// The exit code of a process that a panic ends.
+/// Exit code of a process that ends by a panic.
 const PANIC_EXIT_CODE: i32 = 101;
 
-/// Ends the process when a panic unwinds past it: the state that the task shares with all others is not to be
-/// trusted any more. The ring is written out by then.
+/// Ends the process when a panic unwinds past it, because the state that the task shares with all others can no
+/// longer be trusted. The log ring has been written out by then.
 struct ExitOnPanic;
 
 impl Drop for ExitOnPanic {
@@ -19,7 +20,7 @@
     }
 }
 
-/// As `tokio::task::spawn_local`, but a panic of the task ends the process, as one of the main loop does.
+/// Like `tokio::task::spawn_local`, but a panic in the task ends the process, as a panic in the main loop does.
 pub fn spawn_local<F: Future + 'static>(work: F) -> JoinHandle<F::Output> {
     tokio::task::spawn_local(async move {
         let _guard = ExitOnPanic;
