--- a/crates/playhouse/src/listen.rs
+++ b/crates/playhouse/src/listen.rs
@@ -11,7 +11,7 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Binds an address that an earlier life of this process may have left in use.
+/// Binds an address that an earlier run of this process may have left in use.
 pub fn bind(at: SocketAddrV4, backlog: i32) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -21,12 +21,13 @@
     TcpListener::from_std(socket.into())
 }
 
-/// The same, where another process may hold the address for a moment longer: tried again for a while.
+/// Binds like `bind`, but retries for a while, since another process may hold the address a moment longer.
 pub fn bind_when_free(at: SocketAddrV4, backlog: i32) -> std::io::Result<TcpListener> {
     garnetdoor_bind::bind_with_retry(at, || bind(at, backlog), |error| log::warn!("{error}; tried again"))
 }
 
-/// What can't be accepted now (descriptors at their end) is tried again after a while, without spinning.
+/// Accepts the next connection. Failures, such as running out of file descriptors, are retried after 20 ms instead of
+/// in a busy loop.
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -42,9 +43,9 @@
     }
 }
 
-/// Serves each connection as HTTP/1.1 in a task of its own, without an end. A caller that sends no request within
-/// `head_within` is closed.
-pub async fn serve<A, F, B>(listener: TcpListener, head_within: Duration, answer: A)
+/// Serves each connection as HTTP/1.1 in its own task and never returns. A connection that sends no request within
+/// `head_timeout` is closed.
+pub async fn serve<A, F, B>(listener: TcpListener, head_timeout: Duration, answer: A)
 where
     A: Fn(Request<Incoming>) -> F + Clone + 'static,
     F: Future<Output = Response<B>> + 'static,
@@ -61,7 +62,7 @@
             });
             let served = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(head_within)
+                .header_read_timeout(head_timeout)
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
             if let Err(error) = served {
--- a/crates/playhouse/src/signals.rs
+++ b/crates/playhouse/src/signals.rs
@@ -1,12 +1,14 @@
-//! SIGTERM and SIGHUP as events.
+//! Process signals as events.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-pub enum Told {
-    End,
+/// SIGTERM and SIGINT terminate, SIGHUP reloads the settings.
+pub enum SignalEvent {
+    Terminate,
     Reload,
 }
 
+/// Receives the process's signals.
 pub struct Signals {
     term: Signal,
     int: Signal,
@@ -22,11 +24,12 @@
         })
     }
 
-    pub async fn next(&mut self) -> Told {
+    /// Waits for the next signal.
+    pub async fn next(&mut self) -> SignalEvent {
         tokio::select! {
-            _ = self.term.recv() => Told::End,
-            _ = self.int.recv() => Told::End,
-            _ = self.hup.recv() => Told::Reload,
+            _ = self.term.recv() => SignalEvent::Terminate,
+            _ = self.int.recv() => SignalEvent::Terminate,
+            _ = self.hup.recv() => SignalEvent::Reload,
         }
     }
 }
