--- a/crates/extras/src/path.rs
+++ b/crates/extras/src/path.rs
@@ -8,11 +8,11 @@
 use hdrhistogram::Histogram;
 use hyper::Method;
 use membership::Role;
-use playhouse::demo::client::{Ask, Line, Platform};
-use playhouse::demo::instance::{Instance, Plan, Record};
+use playhouse::demo::client::{Connection, HttpRequest, LoadBalancer};
+use playhouse::demo::cluster::{self, TestCluster};
+use playhouse::demo::instance::{Instance, InstanceConfig, RequestLog};
 use playhouse::demo::operator::Operator;
-use playhouse::demo::stage::{self, Stage};
-use playhouse::demo::until;
+use playhouse::demo::wait_for;
 
 use crate::text;
 
@@ -106,12 +106,12 @@
     line.split_whitespace().nth(1)?.parse::<f64>().ok().map(|kb| kb / 1e3)
 }
 
-fn ask(route: usize, number: u64, target: &str) -> Ask {
-    let ask = Ask::new(Method::GET, &text::path(route))
-        .with("Host", text::HOST)
-        .with("Attempt-Id", format!("{number:016x}"))
-        .with("Remaining-Time", "1500");
-    if target.is_empty() { ask } else { ask.with("Target-Instance", target) }
+fn ask(route: usize, number: u64, target: &str) -> HttpRequest {
+    let ask = HttpRequest::new(Method::GET, &text::path(route))
+        .with_header("Host", text::HOST)
+        .with_header("Attempt-Id", format!("{number:016x}"))
+        .with_header("Remaining-Time", "1500");
+    if target.is_empty() { ask } else { ask.with_header("Target-Instance", target) }
 }
 
 /// Measures at `rate` requests a second each way for `span`, before a configuration of so many routes; with `loads` also
@@ -126,25 +126,31 @@
 async fn measured(
     program: PathBuf, routes: usize, rate: f64, span: Duration, seed: u64, loads: bool,
 ) -> Result<Found, Error> {
-    let plan = stage::Plan { program, prompters: 1, foyers: 1, folder: None, log: "warn".to_owned() };
-    let mut stage = Stage::set(plan)?;
+    let plan = cluster::ClusterConfig {
+        program,
+        control_nodes: 1,
+        gateways: 1,
+        folder: None,
+        log: "warn".to_owned(),
+    };
+    let mut stage = TestCluster::create(plan)?;
     stage.start_all()?;
     let foyer = stage.nodes(Role::Gateway)[0];
     let pid = stage.pid(foyer).ok_or("the foyer does not run")?;
-    let operator = Operator::new(stage.controls());
-    until("a leader", || operator.leader()).await?;
+    let operator = Operator::new(stage.control_addresses());
+    wait_for("a leader", || operator.leader()).await?;
     let whole = String::from_utf8(text::whole(1, routes, 1, 0, None))?;
     let answer = operator.replace(0, 0, &whole).await?;
     if !answer.status.is_success() {
         return Err(format!("the configuration was answered {}", answer.status).into());
     }
-    let mut plan = Plan::new("i-path", &text::service(SERVICE), "v1");
-    (plan.slots, plan.queue, plan.work) = (64, 64, Duration::ZERO);
+    let mut plan = InstanceConfig::new("i-path", &text::service(SERVICE), "v1");
+    (plan.slots, plan.queue_limit, plan.service_time) = (64, 64, Duration::ZERO);
     let address = stage.instance_address().ok_or("no address for an instance")?;
     let address = std::net::SocketAddrV4::new(address, 8080);
-    let instance = Instance::start(plan, address, stage.controls(), Record::default()).await?;
-    let platform = Platform::new(vec![(stage.frontend(foyer), stage.readiness(foyer))]);
-    until("a foyer that is ready", || async {
+    let instance = Instance::start(plan, address, stage.control_addresses(), RequestLog::default()).await?;
+    let platform = LoadBalancer::new(vec![(stage.frontend(foyer), stage.readiness(foyer))]);
+    wait_for("a foyer that is ready", || async {
         platform.probe().await;
         (platform.ready() == 1).then_some(())
     })
@@ -190,7 +196,7 @@
         let target = target.to_owned();
         clients.spawn(async move {
             let mut took = Vec::new();
-            let Ok(mut line) = Line::open(to).await else { return took };
+            let Ok(mut line) = Connection::open(to).await else { return took };
             let first = began + between.mul_f64(client as f64 / LOADING as f64);
             for number in 0u32.. {
                 let due = first + between * number;
@@ -199,7 +205,7 @@
                 }
                 tokio::time::sleep_until(due.into()).await;
                 let id = (client as u64 + 1) << 40 | u64::from(number);
-                match line.ask(&ask((number as usize * 7 + client) % routes, id, &target)).await {
+                match line.send(&ask((number as usize * 7 + client) % routes, id, &target)).await {
                     // The first opens connections on its way.
                     Ok(answer) if answer.status.is_success() && number > 0 => took.push(due.elapsed()),
                     Ok(_) => {}
@@ -224,7 +230,7 @@
     rate: f64, span: Duration, seed: u64,
 ) -> Result<(), Error> {
     let mut chance = oorandom::Rand64::new(u128::from(seed));
-    let (mut straight, mut through) = (Line::open(ends.0).await?, Line::open(ends.1).await?);
+    let (mut straight, mut through) = (Connection::open(ends.0).await?, Connection::open(ends.1).await?);
     let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / rate.clamp(1.0, 5_000.0)));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let began = Instant::now();
@@ -235,16 +241,16 @@
         ticks.tick().await;
         let route = chance.rand_range(0..routes as u64) as usize;
         let at = Instant::now();
-        let good = straight.ask(&ask(route, number * 2, id)).await.is_ok_and(|one| one.status.is_success());
+        let good = straight.send(&ask(route, number * 2, id)).await.is_ok_and(|one| one.status.is_success());
         let took = at.elapsed().as_micros() as u64;
         let at = Instant::now();
-        let answer = through.ask(&ask(route, number * 2 + 1, "")).await;
+        let answer = through.send(&ask(route, number * 2 + 1, "")).await;
         let passed = at.elapsed().as_micros() as u64;
         let good = good && answer.is_ok_and(|one| one.status.is_success());
         // The first few open connections and warm the code up.
         if !good {
             found.failed += 1;
-            (straight, through) = (Line::open(ends.0).await?, Line::open(ends.1).await?);
+            (straight, through) = (Connection::open(ends.0).await?, Connection::open(ends.1).await?);
         } else if number >= 20 {
             found.straight.record(took.max(1))?;
             found.through.record(passed.max(1))?;
@@ -264,10 +270,10 @@
     for client in 0..PRESSED {
         clients.spawn(async move {
             let mut served = 0u64;
-            let Ok(mut line) = Line::open(to).await else { return served };
+            let Ok(mut line) = Connection::open(to).await else { return served };
             while began.elapsed() < span {
                 let number = (client as u64 + 1) << 32 | served;
-                match line.ask(&ask((served as usize * 7 + client) % routes, number, "")).await {
+                match line.send(&ask((served as usize * 7 + client) % routes, number, "")).await {
                     Ok(answer) if answer.status.is_success() => served += 1,
                     Ok(_) => {}
                     Err(_) => break,
@@ -292,26 +298,32 @@
 pub fn beats(program: PathBuf, span: Duration) -> Result<[Duration; 2], Error> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
-        let plan = stage::Plan { program, prompters: 1, foyers: 1, folder: None, log: "error".to_owned() };
-        let mut stage = Stage::set(plan)?;
+        let plan = cluster::ClusterConfig {
+            program,
+            control_nodes: 1,
+            gateways: 1,
+            folder: None,
+            log: "error".to_owned(),
+        };
+        let mut stage = TestCluster::create(plan)?;
         stage.start_all()?;
         let prompter = stage.nodes(Role::ControlNode)[0];
         let pid = stage.pid(prompter).ok_or("the prompter does not run")?;
-        let operator = Operator::new(stage.controls());
-        until("a leader", || operator.leader()).await?;
+        let operator = Operator::new(stage.control_addresses());
+        wait_for("a leader", || operator.leader()).await?;
         let to = stage.control(prompter);
         Ok([beaten(pid, to, false, span).await?, beaten(pid, to, true, span).await?])
     })
 }
 
-fn beat(client: usize, sequence: u64) -> Ask {
+fn beat(client: usize, sequence: u64) -> HttpRequest {
     let body = format!(
         "{{\"Address\":\"127.9.0.{}:8080\",\"NodeInfo\":{{\"TargetService\":\"service-000\",\"ConfigVersion\":\"v1\",\
          \"Zone\":\"zone-0\",\"CapacitySlots\":3}},\"Status\":{{\"State\":\"in_service\",\"CallSequence\":{sequence},\
          \"WarmupLeftS\":0}}}}",
         client + 1
     );
-    Ask::new(Method::POST, &format!("/api/Instances.Heartbeat/i-beat-{client}")).json(body)
+    HttpRequest::new(Method::POST, &format!("/api/Instances.Heartbeat/i-beat-{client}")).json(body)
 }
 
 async fn beaten(pid: u32, to: std::net::SocketAddrV4, anew: bool, span: Duration) -> Result<Duration, Error> {
@@ -321,16 +333,16 @@
     for client in 0..PRESSED {
         clients.spawn(async move {
             let mut taken = 0u64;
-            let Ok(mut line) = Line::open(to).await else { return taken };
+            let Ok(mut line) = Connection::open(to).await else { return taken };
             let sequence = u64::from(anew) << 40;
             while began.elapsed() < span {
-                match line.ask(&beat(client, sequence + taken + 1)).await {
+                match line.send(&beat(client, sequence + taken + 1)).await {
                     Ok(answer) if answer.status.is_success() => taken += 1,
                     Ok(_) => {}
                     Err(_) => break,
                 }
                 if anew {
-                    let Ok(next) = Line::open(to).await else { break };
+                    let Ok(next) = Connection::open(to).await else { break };
                     line = next;
                 }
             }
--- a/crates/extras/src/world/node.rs
+++ b/crates/extras/src/world/node.rs
@@ -9,7 +9,7 @@
 use playhouse::control::{self, Control, Told};
 use playhouse::floor::{self, Floor};
 use playhouse::house::{House, Letter};
-use playhouse::settings::{Settings, micros};
+use playhouse::settings::{Settings, seconds_to_micros};
 use types::{CallId, Carrier, Micros, NodeAddress, RunId, VoterId};
 
 use super::report::Spent;
@@ -143,9 +143,9 @@
             name: format!("{}-{at:04}", if self.prompter { "prompter" } else { "gateway" }),
             version: types::NodeVersion::CURRENT,
         };
-        let beat = micros(settings.heartbeat_s);
+        let beat = seconds_to_micros(settings.heartbeat_s);
         let house = House::start(member, seeds.to_vec(), beat, seed, 0);
-        let spans = settings.spans();
+        let spans = settings.derived_timings();
         if !self.prompter {
             self.process = Some(Process::Gateway(Box::new(Floor::start(house, settings, seed ^ 3, 0))));
             // The first words lie in the house until the first step.
--- a/crates/playhouse/src/calls.rs
+++ b/crates/playhouse/src/calls.rs
@@ -8,7 +8,7 @@
 use simd_json::prelude::*;
 use types::{ConfigVersion, Micros};
 
-use crate::settings::micros;
+use crate::settings::seconds_to_micros;
 
 /// Every method and path served, as the OpenAPI file names them.
 pub const SERVED: [(&str, &str); 8] = [
@@ -103,7 +103,7 @@
 
 fn span(value: &OwnedValue, at: &str, key: &str) -> Result<Micros, Wrong> {
     match value.get(key).and_then(|found| found.cast_f64()) {
-        Some(found) if found.is_finite() && found >= 0.0 => Ok(micros(found)),
+        Some(found) if found.is_finite() && found >= 0.0 => Ok(seconds_to_micros(found)),
         _ => bad(format!("{at}/{key}: seconds of 0 or more expected")),
     }
 }
--- a/crates/playhouse/src/commands/call.rs
+++ b/crates/playhouse/src/commands/call.rs
@@ -6,21 +6,21 @@
 use hyper::{Method, StatusCode};
 use simd_json::OwnedValue;
 
-use super::Failed;
-use crate::demo::client::{Answer, Ask};
-use crate::demo::operator::{Operator, json};
+use super::CommandError;
+use crate::demo::client::{HttpRequest, HttpResponse};
+use crate::demo::operator::{Operator, parse_json};
 use crate::settings::Settings;
 
 /// Where the system is, and how answers are printed.
 #[derive(Clone, Debug, clap::Args)]
-pub struct At {
+pub struct Target {
     /// A prompter's Control address; may be given several times. Without it: SeedNodes of the settings file
     /// that GARNETDOOR_SETTINGS names.
-    #[arg(long, value_name = "IP:PORT", value_parser = address)]
-    pub at: Vec<SocketAddrV4>,
+    #[arg(long = "at", value_name = "IP:PORT", value_parser = address)]
+    pub addresses: Vec<SocketAddrV4>,
     /// Seconds for which a call is tried, at one machine after the other.
-    #[arg(long, value_name = "S", default_value = "10", value_parser = seconds)]
-    pub patience: Duration,
+    #[arg(long = "patience", value_name = "S", default_value = "10", value_parser = seconds)]
+    pub timeout: Duration,
     /// Print JSON, for scripts.
     #[arg(long)]
     pub json: bool,
@@ -36,40 +36,40 @@
     found.map(Duration::from_secs_f64).ok_or_else(|| "seconds from 0.001 to 1000000 expected".to_owned())
 }
 
-impl At {
-    pub fn operator(&self) -> Result<Operator, Failed> {
-        let prompters = if self.at.is_empty() {
+impl Target {
+    pub fn operator(&self) -> Result<Operator, CommandError> {
+        let control_nodes = if self.addresses.is_empty() {
             let path = Settings::path().map_err(|_| {
-                Failed::Wrong(
+                CommandError::Usage(
                     "name a prompter by --at IP:PORT, or a settings file by GARNETDOOR_SETTINGS".into(),
                 )
             })?;
             Settings::read(&path)?.seed_nodes
         } else {
-            self.at.clone()
+            self.addresses.clone()
         };
-        Ok(Operator { prompters, patience: self.patience })
+        Ok(Operator { control_nodes, timeout: self.timeout })
     }
 
     /// A clear answer to a call, whatever it says.
-    pub async fn ask(&self, ask: &Ask) -> Result<Answer, Failed> {
-        self.operator()?.ask(0, ask).await.map_err(|unclear| Failed::NoAnswer(unclear.to_string()))
+    pub async fn send(&self, ask: &HttpRequest) -> Result<HttpResponse, CommandError> {
+        self.operator()?.send(0, ask).await.map_err(|unclear| CommandError::NoAnswer(unclear.to_string()))
     }
 
     /// What a prompter knows of the whole.
-    pub async fn status(&self) -> Result<OwnedValue, Failed> {
-        let answer = good(self.ask(&Ask::new(Method::GET, "/api/Status")).await?)?;
-        json(&answer.body).ok_or_else(|| Failed::NoAnswer("the answer is no JSON".to_owned()))
+    pub async fn status(&self) -> Result<OwnedValue, CommandError> {
+        let answer = good(self.send(&HttpRequest::new(Method::GET, "/api/Status")).await?)?;
+        parse_json(&answer.body).ok_or_else(|| CommandError::NoAnswer("the answer is no JSON".to_owned()))
     }
 }
 
 /// An answer of 200, or the refusal.
-pub fn good(answer: Answer) -> Result<Answer, Failed> {
+pub fn good(answer: HttpResponse) -> Result<HttpResponse, CommandError> {
     if answer.status == StatusCode::OK {
         return Ok(answer);
     }
-    let text = json(&answer.body).map_or_else(|| answer.text(), |value| said(&value));
-    Err(Failed::Refused { status: answer.status.as_u16(), text })
+    let text = parse_json(&answer.body).map_or_else(|| answer.text(), |value| said(&value));
+    Err(CommandError::Refused { status: answer.status.as_u16(), text })
 }
 
 /// What a refusal's body says to a person.
--- a/crates/playhouse/src/commands/check.rs
+++ b/crates/playhouse/src/commands/check.rs
@@ -7,7 +7,7 @@
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 
-use super::{Done, Failed, print, print_json, read};
+use super::{CommandError, CommandResult, print, print_json, read};
 use crate::settings::{Fault, Settings, SettingsError};
 
 #[derive(Debug, clap::Args)]
@@ -17,7 +17,7 @@
     settings: Option<PathBuf>,
     /// The part that the settings are for; without it, as the addresses under ListenAddresses tell.
     #[arg(long = "for", value_name = "PART", value_enum)]
-    part: Option<Named>,
+    part: Option<RoleName>,
     /// An operator's whole configuration (JSON).
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
@@ -27,16 +27,18 @@
 }
 
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
-enum Named {
-    Foyer,
-    Prompter,
+enum RoleName {
+    #[value(name = "foyer")]
+    Gateway,
+    #[value(name = "prompter")]
+    ControlNode,
 }
 
-impl From<Named> for Role {
-    fn from(named: Named) -> Role {
+impl From<RoleName> for Role {
+    fn from(named: RoleName) -> Role {
         match named {
-            Named::Foyer => Role::Gateway,
-            Named::Prompter => Role::ControlNode,
+            RoleName::Gateway => Role::Gateway,
+            RoleName::ControlNode => Role::ControlNode,
         }
     }
 }
@@ -51,7 +53,7 @@
 }
 
 impl Check {
-    pub fn run(&self) -> Done {
+    pub fn run(&self) -> CommandResult {
         let mut all = Vec::new();
         if let Some(path) = &self.settings {
             all.push(settings(path, self.part)?);
@@ -67,21 +69,25 @@
         } else {
             print(all.iter().map(Looked::words).collect::<String>().as_bytes())?;
         }
-        if all.iter().all(|looked| looked.faults.is_empty()) { Ok(()) } else { Err(Failed::NotWell) }
+        if all.iter().all(|looked| looked.faults.is_empty()) {
+            Ok(())
+        } else {
+            Err(CommandError::CheckFailed)
+        }
     }
 }
 
-fn settings(path: &Path, part: Option<Named>) -> Result<Looked, Failed> {
+fn settings(path: &Path, part: Option<RoleName>) -> Result<Looked, CommandError> {
     let (faults, holds) = match Settings::read(path) {
-        Ok(settings) => match part.map(Role::from).or_else(|| settings.part()) {
-            Some(part) => (told(&settings.lacking(part)), holds(&settings, part)),
+        Ok(settings) => match part.map(Role::from).or_else(|| settings.role()) {
+            Some(part) => (told(&settings.missing_for(part)), holds(&settings, part)),
             None => {
                 let expected = "nothing; expected Control for a prompter, Frontend and Readiness for a foyer";
                 (vec![("ListenAddresses".to_owned(), expected.to_owned())], String::new())
             }
         },
         Err(SettingsError::Faults { faults, .. }) => (told(&faults), String::new()),
-        Err(SettingsError::Wrong { error, .. }) => {
+        Err(SettingsError::InvalidToml { error, .. }) => {
             (vec![(String::new(), error.to_string().trim_end().replace('\n', "\n    "))], String::new())
         }
         // One file that can't be read must not hide what is wrong with the other.
@@ -152,11 +158,11 @@
     rows.iter().map(|(key, value)| format!("  {key} = {value}\n")).collect()
 }
 
-fn configuration(path: &Path) -> Result<Looked, Failed> {
+fn configuration(path: &Path) -> Result<Looked, CommandError> {
     let looked = |faults, more, holds| Looked { path: path.to_owned(), faults, more, holds };
     let bytes = match read(path) {
         Ok(bytes) => bytes,
-        Err(Failed::File { error, .. }) => {
+        Err(CommandError::File { error, .. }) => {
             return Ok(looked(vec![(String::new(), error.to_string())], 0, String::new()));
         }
         Err(failed) => return Err(failed),
--- a/crates/playhouse/src/commands/config.rs
+++ b/crates/playhouse/src/commands/config.rs
@@ -8,30 +8,30 @@
 use simd_json::prelude::*;
 use types::ConfigVersion;
 
-use super::call::{At, good};
-use super::{Done, Failed, print, print_json, read, text};
-use crate::demo::client::Ask;
-use crate::demo::operator::{Items, items, json};
+use super::call::{Target, good};
+use super::{CommandError, CommandResult, print, print_json, read, text};
+use crate::demo::client::HttpRequest;
+use crate::demo::operator::{ConfigurationItems, parse_items, parse_json};
 
 #[derive(Debug, clap::Subcommand)]
 pub enum Config {
     /// Print the newest configuration, as a leader that has proved that it leads gives it.
     Get {
         #[command(flatten)]
-        at: At,
+        at: Target,
     },
     /// Compare the configuration in force with a file: a whole one, or a change (Upsert, Remove) to be made.
     /// Exit code 1 where they differ.
     Diff {
         #[command(flatten)]
-        at: At,
+        at: Target,
         /// The file (JSON); - is standard input.
         file: PathBuf,
     },
     /// Put a file in force: a whole configuration, or a change (Upsert, Remove).
     Apply {
         #[command(flatten)]
-        at: At,
+        at: Target,
         /// The file (JSON); - is standard input.
         file: PathBuf,
         /// The version that it builds on, in hexadecimal; without it, the one in force now. Give it where
@@ -47,13 +47,14 @@
 }
 
 impl Config {
-    pub async fn run(&self) -> Done {
+    pub async fn run(&self) -> CommandResult {
         match self {
             Config::Get { at } => match current(at).await? {
                 Some(text) => print(&text),
-                None => {
-                    Err(Failed::Refused { status: 404, text: "no configuration has been taken yet".into() })
-                }
+                None => Err(CommandError::Refused {
+                    status: 404,
+                    text: "no configuration has been taken yet".into(),
+                }),
             },
             Config::Diff { at, file } => diff(at, file).await,
             Config::Apply { at, file, base } => apply(at, file, *base).await,
@@ -62,8 +63,8 @@
 }
 
 /// The configuration in force; `None` before the first.
-async fn current(at: &At) -> Result<Option<Vec<u8>>, Failed> {
-    let answer = at.ask(&Ask::new(Method::GET, "/api/Configuration.Retrieve")).await?;
+async fn current(at: &Target) -> Result<Option<Vec<u8>>, CommandError> {
+    let answer = at.send(&HttpRequest::new(Method::GET, "/api/Configuration.Retrieve")).await?;
     if answer.status == StatusCode::NOT_FOUND {
         return Ok(None);
     }
@@ -71,15 +72,16 @@
 }
 
 /// A whole configuration, or a change of named items.
-fn is_whole(path: &Path, bytes: &[u8]) -> Result<bool, Failed> {
-    let value = json(bytes).ok_or_else(|| Failed::Wrong(format!("{}: it is no JSON", path.display())))?;
+fn is_whole(path: &Path, bytes: &[u8]) -> Result<bool, CommandError> {
+    let value =
+        parse_json(bytes).ok_or_else(|| CommandError::Usage(format!("{}: it is no JSON", path.display())))?;
     let changes = value.get("Upsert").is_some() || value.get("Remove").is_some();
     Ok(value.get("ResourceSet").is_some() || !changes)
 }
 
 /// The whole that a file would make, checked here.
-fn meant(path: &Path, bytes: &[u8], now: Option<&[u8]>) -> Result<Vec<u8>, Failed> {
-    let bad = |faults: configuration::Faults| Failed::Wrong(format!("{}: {faults}", path.display()));
+fn meant(path: &Path, bytes: &[u8], now: Option<&[u8]>) -> Result<Vec<u8>, CommandError> {
+    let bad = |faults: configuration::Faults| CommandError::Usage(format!("{}: {faults}", path.display()));
     if is_whole(path, bytes)? {
         return Configuration::parse(bytes).map(|bill| bill.to_json()).map_err(bad);
     }
@@ -99,7 +101,7 @@
     after: Option<OwnedValue>,
 }
 
-fn differences(before: &Items, after: &Items) -> Vec<Differs> {
+fn differences(before: &ConfigurationItems, after: &ConfigurationItems) -> Vec<Differs> {
     let mut keys: Vec<_> = before.items.keys().chain(after.items.keys()).collect();
     keys.sort();
     keys.dedup();
@@ -155,17 +157,17 @@
     if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") }
 }
 
-async fn diff(at: &At, path: &Path) -> Done {
+async fn diff(at: &Target, path: &Path) -> CommandResult {
     let bytes = read(path)?;
     let now = current(at).await?;
     let meant = meant(path, &bytes, now.as_deref())?;
-    let nothing = Items { version: "00000000".to_owned(), items: Default::default() };
-    let unreadable = || Failed::NoAnswer("the configuration in force can't be compared".to_owned());
+    let nothing = ConfigurationItems { version: "00000000".to_owned(), items: Default::default() };
+    let unreadable = || CommandError::NoAnswer("the configuration in force can't be compared".to_owned());
     let before = match &now {
-        Some(text) => items(text).ok_or_else(unreadable)?,
+        Some(text) => parse_items(text).ok_or_else(unreadable)?,
         None => nothing,
     };
-    let after = items(&meant).ok_or_else(unreadable)?;
+    let after = parse_items(&meant).ok_or_else(unreadable)?;
     let found = differences(&before, &after);
     if at.json {
         let list: Vec<OwnedValue> = (found.iter())
@@ -197,25 +199,25 @@
         }
         print(out.as_bytes())?;
     }
-    if found.is_empty() { Ok(()) } else { Err(Failed::NotWell) }
+    if found.is_empty() { Ok(()) } else { Err(CommandError::CheckFailed) }
 }
 
-async fn apply(at: &At, path: &Path, base: Option<ConfigVersion>) -> Done {
+async fn apply(at: &Target, path: &Path, base: Option<ConfigVersion>) -> CommandResult {
     let bytes = read(path)?;
     let call = if is_whole(path, &bytes)? { "Replace" } else { "Modify" };
     let base = match base {
         Some(base) => base,
         None => match current(at).await? {
             Some(text) => Configuration::parse(&text).map(|bill| bill.version).map_err(|faults| {
-                Failed::NoAnswer(format!("the configuration in force can't be read: {faults}"))
+                CommandError::NoAnswer(format!("the configuration in force can't be read: {faults}"))
             })?,
             None => ConfigVersion(0),
         },
     };
-    let taken = json(&bytes).map(|value| text(&value, "ConfigVersion").to_owned()).unwrap_or_default();
-    let ask = Ask::new(Method::POST, &format!("/api/Configuration.{call}"));
-    let ask = ask.with("Base-Version", base.to_string()).json(bytes);
-    good(at.ask(&ask).await?)?;
+    let taken = parse_json(&bytes).map(|value| text(&value, "ConfigVersion").to_owned()).unwrap_or_default();
+    let ask = HttpRequest::new(Method::POST, &format!("/api/Configuration.{call}"));
+    let ask = ask.with_header("Base-Version", base.to_string()).json(bytes);
+    good(at.send(&ask).await?)?;
     if at.json {
         return print_json(&simd_json::json!({ "Taken": taken, "Base": base.to_string() }));
     }
--- a/crates/playhouse/src/commands/ledger.rs
+++ b/crates/playhouse/src/commands/ledger.rs
@@ -14,7 +14,7 @@
 use types::{LogIndex, NodeAddress, RunId, Term, VoterId};
 
 use super::view::rollout_state;
-use super::{Done, Failed, print, print_json};
+use super::{CommandError, CommandResult, print, print_json};
 
 /// The file within a data folder.
 const NAME: &str = "ledger.redb";
@@ -23,7 +23,7 @@
 const ABOVE: u64 = 1 << 32;
 
 #[derive(Debug, clap::Subcommand)]
-pub enum LedgerVerb {
+pub enum StorageCommand {
     /// Print what a ledger holds.
     Inspect {
         /// The data folder.
@@ -87,10 +87,10 @@
 struct Passing(PathBuf);
 
 impl Passing {
-    fn make() -> Result<Passing, Failed> {
+    fn make() -> Result<Passing, CommandError> {
         let name = format!("playhouse-ledger-{}-{:x}", std::process::id(), crate::house::chance());
         let path = std::env::temp_dir().join(name);
-        fs::create_dir(&path).map_err(|error| Failed::File { path: path.clone(), error })?;
+        fs::create_dir(&path).map_err(|error| CommandError::File { path: path.clone(), error })?;
         Ok(Passing(path))
     }
 }
@@ -101,8 +101,8 @@
     }
 }
 
-fn damaged(dir: &Path, why: impl std::fmt::Display) -> Failed {
-    Failed::Process(format!("{}: {why}", dir.display()).into())
+fn damaged(dir: &Path, why: impl std::fmt::Display) -> CommandError {
+    CommandError::Process(format!("{}: {why}", dir.display()).into())
 }
 
 /// Why there is nothing to look at.
@@ -119,12 +119,12 @@
 }
 
 /// Reads a copy, since opening a store rewrites it, and a damaged one is to stay as it was found.
-fn hold(dir: &Path) -> Result<Held, Failed> {
+fn hold(dir: &Path) -> Result<Held, CommandError> {
     let path = dir.join(NAME);
-    let at = |error| Failed::File { path: path.clone(), error };
+    let at = |error| CommandError::File { path: path.clone(), error };
     let file = match File::open(&path) {
         Ok(file) => file,
-        Err(error) if error.kind() == ErrorKind::NotFound => return Err(Failed::Wrong(nothing(dir))),
+        Err(error) if error.kind() == ErrorKind::NotFound => return Err(CommandError::Usage(nothing(dir))),
         Err(error) => return Err(at(error)),
     };
     if file.metadata().map_err(at)?.len() == 0 {
@@ -133,7 +133,10 @@
     match file.try_lock_shared() {
         Ok(()) => {}
         Err(TryLockError::WouldBlock) => {
-            return Err(Failed::Wrong(format!("{}: a process uses it; stop that first", dir.display())));
+            return Err(CommandError::Usage(format!(
+                "{}: a process uses it; stop that first",
+                dir.display()
+            )));
         }
         Err(TryLockError::Error(error)) => return Err(at(error)),
     }
@@ -227,16 +230,16 @@
     }
 }
 
-impl LedgerVerb {
-    pub fn run(&self) -> Done {
+impl StorageCommand {
+    pub fn run(&self) -> CommandResult {
         match self {
-            LedgerVerb::Inspect { dir, json } => {
+            StorageCommand::Inspect { dir, json } => {
                 let held = hold(dir)?;
                 if *json { print_json(&held.json()) } else { print(words(&held).as_bytes()) }
             }
-            LedgerVerb::Verify { dir, json } => verify(dir, *json),
-            LedgerVerb::Export { dir, to, json } => export(dir, to, *json),
-            LedgerVerb::Begin { dir, to, address, the_others_are_gone, json } => {
+            StorageCommand::Verify { dir, json } => verify(dir, *json),
+            StorageCommand::Export { dir, to, json } => export(dir, to, *json),
+            StorageCommand::Begin { dir, to, address, the_others_are_gone, json } => {
                 begin(dir, to, NodeAddress(*address), *the_others_are_gone, *json)
             }
         }
@@ -258,11 +261,11 @@
     fields.into_iter().map(line).collect()
 }
 
-fn verify(dir: &Path, json: bool) -> Done {
+fn verify(dir: &Path, json: bool) -> CommandResult {
     let (last, wrong) = match hold(dir) {
         Ok(held) if held.unreadable.is_empty() => (held.last().0, String::new()),
         Ok(held) => (held.last().0, format!("entries that hold no command of ours: {:?}", held.unreadable)),
-        Err(Failed::Process(error)) => (0, error.to_string()),
+        Err(CommandError::Process(error)) => (0, error.to_string()),
         Err(error) => return Err(error),
     };
     let sound = wrong.is_empty();
@@ -273,15 +276,15 @@
     } else {
         print(format!("{wrong}\n").as_bytes())?;
     }
-    if sound { Ok(()) } else { Err(Failed::NotWell) }
+    if sound { Ok(()) } else { Err(CommandError::CheckFailed) }
 }
 
-fn export(dir: &Path, to: &Path, json: bool) -> Done {
+fn export(dir: &Path, to: &Path, json: bool) -> CommandResult {
     let held = hold(dir)?;
-    fs::create_dir_all(to).map_err(|error| Failed::File { path: to.to_owned(), error })?;
+    fs::create_dir_all(to).map_err(|error| CommandError::File { path: to.to_owned(), error })?;
     let write = |name: &str, bytes: &[u8]| {
         let path = to.join(name);
-        fs::write(&path, bytes).map_err(|error| Failed::File { path, error })
+        fs::write(&path, bytes).map_err(|error| CommandError::File { path, error })
     };
     write("state.json", format!("{}\n", held.json().encode()).as_bytes())?;
     let version = held.script.configuration_version();
@@ -302,23 +305,23 @@
 /// Writes the state of one disk as the first of a new core of one voter, into a folder of its own. The new
 /// disk has a new life, so that nothing is expected of it that the old one promised, and nobody of the old
 /// core takes its voice for one of theirs.
-fn begin(dir: &Path, to: &Path, place: NodeAddress, sure: bool, json: bool) -> Done {
+fn begin(dir: &Path, to: &Path, place: NodeAddress, sure: bool, json: bool) -> CommandResult {
     let held = hold(dir)?;
     if !held.unreadable.is_empty() {
         return Err(damaged(dir, format!("entries that hold no command of ours: {:?}", held.unreadable)));
     }
     if held.last() == LogIndex(0) {
         let text = format!("{}: it holds nothing; start as on the first start of all", dir.display());
-        return Err(Failed::Wrong(text));
+        return Err(CommandError::Usage(text));
     }
-    let at = |error| Failed::File { path: to.to_owned(), error };
+    let at = |error| CommandError::File { path: to.to_owned(), error };
     let found = match fs::read_dir(to) {
         Ok(mut found) => found.next().is_some(),
         Err(error) if error.kind() == ErrorKind::NotFound => false,
         Err(error) => return Err(at(error)),
     };
     if found {
-        return Err(Failed::Wrong(format!("{}: not empty; name a new folder", to.display())));
+        return Err(CommandError::Usage(format!("{}: not empty; name a new folder", to.display())));
     }
     let told = |voter: Option<VoterId>| {
         if json {
@@ -350,13 +353,13 @@
     };
     if !sure {
         told(None)?;
-        return Err(Failed::Wrong(
+        return Err(CommandError::Usage(
             "nothing is written: stop the others, put their data folders out of reach, and add \
              --the-others-are-gone"
                 .to_owned(),
         ));
     }
-    let failed = |error: StorageError| Failed::Process(format!("{}: {error}", to.display()).into());
+    let failed = |error: StorageError| CommandError::Process(format!("{}: {error}", to.display()).into());
     let life = RunId(crate::house::chance() | 1);
     let store = DiskStore::open(to).map_err(|error| failed(error.into()))?;
     let (mut ledger, _) = LogStore::open(store, life).map_err(failed)?;
--- a/crates/playhouse/src/commands/mod.rs
+++ b/crates/playhouse/src/commands/mod.rs
@@ -24,14 +24,14 @@
 use crate::settings::{Settings, SettingsError};
 use crate::{demo, foyer, prompter};
 
-const CODES: &str = "Exit codes: 0 all is well; 1 what was looked at is not (faults, differences, damage, a roll-out that was \
+const EXIT_CODES: &str = "Exit codes: 0 all is well; 1 what was looked at is not (faults, differences, damage, a roll-out that was \
 turned back, a process that could not go on); 2 the command line is wrong; 3 no clear answer from any machine; \
 4 the system refused.";
 
 /// garnetdoor as a fleet: foyers carry the traffic, prompters serve control.
 #[derive(Debug, Parser)]
-#[command(name = "playhouse", version, after_help = CODES)]
-pub struct Line {
+#[command(name = "playhouse", version, after_help = EXIT_CODES)]
+pub struct CommandLine {
     /// What is logged at once: off, error, warn, info, debug or trace. RUST_LOG goes first.
     #[arg(long, global = true, default_value = "warn")]
     pub log: LevelFilter,
@@ -39,7 +39,7 @@
     #[arg(long, global = true, default_value = "info")]
     pub ring: LevelFilter,
     #[command(subcommand)]
-    verb: Verb,
+    command: Command,
 }
 
 /// How a role is served.
@@ -51,11 +51,13 @@
 }
 
 #[derive(Debug, Subcommand)]
-enum Verb {
+enum Command {
     /// Carry traffic: requests from clients to instances.
-    Foyer(Serve),
+    #[command(name = "foyer")]
+    Gateway(Serve),
     /// Serve control: calls of operators and instances, and the ordered log.
-    Prompter(Serve),
+    #[command(name = "prompter")]
+    ControlNode(Serve),
     /// Check a settings file and an operator's configuration: all faults with their places, or what holds.
     Check(check::Check),
     /// Get, compare and change the configuration in force.
@@ -67,12 +69,12 @@
     /// List the nodes as one prompter sees them.
     Members {
         #[command(flatten)]
-        at: call::At,
+        at: call::Target,
     },
     /// List the instances as one prompter sees them.
     Instances {
         #[command(flatten)]
-        at: call::At,
+        at: call::Target,
         /// Only those of this service.
         #[arg(long)]
         service: Option<String>,
@@ -81,17 +83,17 @@
     /// state.
     Status {
         #[command(flatten)]
-        at: call::At,
+        at: call::Target,
     },
     /// Look at the data folder of a prompter that does not run.
-    #[command(subcommand)]
-    Ledger(ledger::LedgerVerb),
+    #[command(subcommand, name = "ledger")]
+    Storage(ledger::StorageCommand),
     /// Show the whole system at work on loopback, with stand-ins of all that is around it.
-    Demo(demo::Line),
+    Demo(demo::DemoArgs),
     /// Play days of the whole system in simulated time: runs playhouse-rehearse, which lies beside this
     /// program.
-    #[command(disable_help_flag = true)]
-    Rehearse {
+    #[command(name = "rehearse", disable_help_flag = true)]
+    Simulate {
         /// As `playhouse rehearse --help` tells them: --seed, --days, --scenario, --plot and more.
         #[arg(trailing_var_arg = true, allow_hyphen_values = true, value_name = "ARGS")]
         args: Vec<std::ffi::OsString>,
@@ -107,46 +109,46 @@
 
 /// Why a verb did not end well; each kind has an exit code of its own.
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
+pub enum CommandError {
     /// What was looked at is not as it should be; it has been told already.
     #[error("")]
-    NotWell,
+    CheckFailed,
     #[error("{0}")]
     Process(Box<dyn std::error::Error>),
     #[error("{path}: {error}")]
     File { path: PathBuf, error: std::io::Error },
     #[error("{0}")]
-    Wrong(String),
+    Usage(String),
     #[error("{0}")]
     NoAnswer(String),
     #[error("refused with {status}: {text}")]
     Refused { status: u16, text: String },
 }
 
-impl Failed {
+impl CommandError {
     fn code(&self) -> u8 {
         match self {
-            Failed::NotWell | Failed::Process(_) | Failed::File { .. } => 1,
-            Failed::Wrong(_) => 2,
-            Failed::NoAnswer(_) => 3,
-            Failed::Refused { .. } => 4,
+            CommandError::CheckFailed | CommandError::Process(_) | CommandError::File { .. } => 1,
+            CommandError::Usage(_) => 2,
+            CommandError::NoAnswer(_) => 3,
+            CommandError::Refused { .. } => 4,
         }
     }
 }
 
-impl From<SettingsError> for Failed {
-    fn from(error: SettingsError) -> Failed {
-        Failed::Process(error.into())
+impl From<SettingsError> for CommandError {
+    fn from(error: SettingsError) -> CommandError {
+        CommandError::Process(error.into())
     }
 }
 
-type Done = Result<(), Failed>;
+type CommandResult = Result<(), CommandError>;
 
 /// Does what the line says; tells what failed on standard error.
-pub fn run(line: Line) -> ExitCode {
+pub fn run(line: CommandLine) -> ExitCode {
     let done = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(runtime) => tokio::task::LocalSet::new().block_on(&runtime, carry_out(line.verb)),
-        Err(error) => Err(Failed::Process(error.into())),
+        Ok(runtime) => tokio::task::LocalSet::new().block_on(&runtime, execute(line.command)),
+        Err(error) => Err(CommandError::Process(error.into())),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
@@ -161,68 +163,70 @@
     }
 }
 
-async fn carry_out(verb: Verb) -> Done {
+async fn execute(command: Command) -> CommandResult {
     let settings =
         |part| -> Result<_, SettingsError> { Ok(Rc::new(Settings::read_for(&Settings::path()?, part)?)) };
     let ended = |error: Box<dyn std::error::Error>| {
         log::error!("the process ends: {error}");
-        Failed::Process(error)
+        CommandError::Process(error)
     };
-    match verb {
-        Verb::Foyer(serve) => foyer::run(settings(Role::Gateway)?, serve.metrics).await.map_err(ended),
-        Verb::Prompter(serve) => {
+    match command {
+        Command::Gateway(serve) => foyer::run(settings(Role::Gateway)?, serve.metrics).await.map_err(ended),
+        Command::ControlNode(serve) => {
             prompter::run(settings(Role::ControlNode)?, serve.metrics).await.map_err(ended)
         }
-        Verb::Check(check) => check.run(),
-        Verb::Config(config) => config.run().await,
-        Verb::Rollout(rollout) => rollout.run().await,
-        Verb::Members { at } => show::members(&at).await,
-        Verb::Instances { at, service } => show::instances(&at, service.as_deref()).await,
-        Verb::Status { at } => show::status(&at).await,
-        Verb::Ledger(verb) => verb.run(),
-        Verb::Demo(line) => demo::run(line).await.map_err(Failed::Process),
-        Verb::Rehearse { args } => Err(rehearse::run(&args)),
-        Verb::Completions { shell } => {
+        Command::Check(check) => check.run(),
+        Command::Config(config) => config.run().await,
+        Command::Rollout(rollout) => rollout.run().await,
+        Command::Members { at } => show::members(&at).await,
+        Command::Instances { at, service } => show::instances(&at, service.as_deref()).await,
+        Command::Status { at } => show::status(&at).await,
+        Command::Storage(command) => command.run(),
+        Command::Demo(line) => demo::run(line).await.map_err(CommandError::Process),
+        Command::Simulate { args } => Err(rehearse::run(&args)),
+        Command::Completions { shell } => {
             let mut bytes = Vec::new();
-            clap_complete::generate(shell, &mut Line::command(), "playhouse", &mut bytes);
+            clap_complete::generate(shell, &mut CommandLine::command(), "playhouse", &mut bytes);
             print(&bytes)
         }
-        Verb::Man { to: None } => {
+        Command::Man { to: None } => {
             let mut bytes = Vec::new();
-            let rendered = clap_mangen::Man::new(Line::command()).render(&mut bytes);
-            rendered.map_err(|error| Failed::Process(error.into()))?;
+            let rendered = clap_mangen::Man::new(CommandLine::command()).render(&mut bytes);
+            rendered.map_err(|error| CommandError::Process(error.into()))?;
             print(&bytes)
         }
-        Verb::Man { to: Some(folder) } => {
-            let at = |error| Failed::File { path: folder.clone(), error };
+        Command::Man { to: Some(folder) } => {
+            let at = |error| CommandError::File { path: folder.clone(), error };
             std::fs::create_dir_all(&folder).map_err(at)?;
-            clap_mangen::generate_to(Line::command(), &folder).map_err(at)
+            clap_mangen::generate_to(CommandLine::command(), &folder).map_err(at)
         }
     }
 }
 
 /// Writes to standard output; a reader that has gone is no fault.
-fn print(bytes: &[u8]) -> Done {
+fn print(bytes: &[u8]) -> CommandResult {
     match std::io::stdout().lock().write_all(bytes) {
-        Err(error) if error.kind() != std::io::ErrorKind::BrokenPipe => Err(Failed::Process(error.into())),
+        Err(error) if error.kind() != std::io::ErrorKind::BrokenPipe => {
+            Err(CommandError::Process(error.into()))
+        }
         _ => Ok(()),
     }
 }
 
 /// One value on a line of its own.
-fn print_json(value: &OwnedValue) -> Done {
+fn print_json(value: &OwnedValue) -> CommandResult {
     print(format!("{}\n", value.encode()).as_bytes())
 }
 
 /// A file's bytes; `-` is standard input.
-fn read(path: &std::path::Path) -> Result<Vec<u8>, Failed> {
+fn read(path: &std::path::Path) -> Result<Vec<u8>, CommandError> {
     let found = if path.as_os_str() == "-" {
         let mut bytes = Vec::new();
         std::io::Read::read_to_end(&mut std::io::stdin().lock(), &mut bytes).map(|_| bytes)
     } else {
         std::fs::read(path)
     };
-    found.map_err(|error| Failed::File { path: path.to_owned(), error })
+    found.map_err(|error| CommandError::File { path: path.to_owned(), error })
 }
 
 /// A text under a key; empty where there is none.
--- a/crates/playhouse/src/commands/rollout.rs
+++ b/crates/playhouse/src/commands/rollout.rs
@@ -5,10 +5,10 @@
 
 use hyper::{Method, StatusCode};
 
-use super::call::{At, good, seconds};
-use super::{Done, Failed, print, print_json, text};
-use crate::demo::client::Ask;
-use crate::demo::operator::json;
+use super::call::{Target, good, seconds};
+use super::{CommandError, CommandResult, print, print_json, text};
+use crate::demo::client::HttpRequest;
+use crate::demo::operator::parse_json;
 
 /// From one look at a roll-out to the next.
 const LOOK_EVERY: Duration = Duration::from_millis(500);
@@ -18,7 +18,7 @@
     /// Order a version of a service. Start its instances first; the old ones go only once it is completed.
     Start {
         #[command(flatten)]
-        at: At,
+        at: Target,
         service: String,
         version: String,
         /// Seconds that the trial may take.
@@ -32,21 +32,21 @@
     /// it is reverted.
     Watch {
         #[command(flatten)]
-        at: At,
+        at: Target,
         service: String,
     },
 }
 
 impl Rollout {
-    pub async fn run(&self) -> Done {
+    pub async fn run(&self) -> CommandResult {
         match self {
             Rollout::Start { at, service, version, period, watch: then } => {
                 let body = simd_json::json!({
                     "TargetService": service.clone(), "TargetVersion": version.clone(),
                     "RolloutPeriodS": period.as_secs_f64(),
                 });
-                let ask = Ask::new(Method::POST, "/api/Rollouts.Initiate");
-                good(at.ask(&ask.json(simd_json::prelude::Writable::encode(&body))).await?)?;
+                let ask = HttpRequest::new(Method::POST, "/api/Rollouts.Initiate");
+                good(at.send(&ask.json(simd_json::prelude::Writable::encode(&body))).await?)?;
                 if *then {
                     return watch(at, service).await;
                 }
@@ -61,21 +61,21 @@
     }
 }
 
-async fn watch(at: &At, service: &str) -> Done {
+async fn watch(at: &Target, service: &str) -> CommandResult {
     // Names may hold what a path may not.
     let path: String = service.bytes().map(in_path).collect();
-    let ask = Ask::new(Method::GET, &format!("/api/Rollouts.Retrieve/{path}"));
+    let ask = HttpRequest::new(Method::GET, &format!("/api/Rollouts.Retrieve/{path}"));
     let mut last = String::new();
     let began = std::time::Instant::now();
     // Only for somebody who looks on; a script gets the states alone.
     let looked_at = std::io::stderr().is_terminal();
     loop {
-        let answer = at.ask(&ask).await?;
+        let answer = at.send(&ask).await?;
         if answer.status == StatusCode::NOT_FOUND {
-            return Err(Failed::Refused { status: 404, text: format!("no roll-out of {service}") });
+            return Err(CommandError::Refused { status: 404, text: format!("no roll-out of {service}") });
         }
-        let value = json(&good(answer)?.body);
-        let value = value.ok_or_else(|| Failed::NoAnswer("the answer is no JSON".to_owned()))?;
+        let value = parse_json(&good(answer)?.body);
+        let value = value.ok_or_else(|| CommandError::NoAnswer("the answer is no JSON".to_owned()))?;
         let (state, version) = (text(&value, "State").to_owned(), text(&value, "TargetVersion"));
         if looked_at {
             let waited = began.elapsed().as_secs();
@@ -100,7 +100,7 @@
         }
         match last.as_str() {
             "completed" => return Ok(()),
-            "reverted" => return Err(Failed::NotWell),
+            "reverted" => return Err(CommandError::CheckFailed),
             _ => tokio::time::sleep(LOOK_EVERY).await,
         }
     }
--- a/crates/playhouse/src/commands/show.rs
+++ b/crates/playhouse/src/commands/show.rs
@@ -3,8 +3,8 @@
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 
-use super::call::At;
-use super::{Done, count, list, print, print_json, text};
+use super::call::Target;
+use super::{CommandResult, count, list, print, print_json, text};
 
 /// Rows under a heading, each column as wide as its widest cell.
 fn table(heading: &[&str], rows: Vec<Vec<String>>) -> String {
@@ -41,7 +41,7 @@
     format!("as {name} sees it; {leader}")
 }
 
-pub async fn members(at: &At) -> Done {
+pub async fn members(at: &Target) -> CommandResult {
     let status = at.status().await?;
     let members = list(&status, "Members");
     if at.json {
@@ -62,7 +62,7 @@
     )
 }
 
-pub async fn instances(at: &At, service: Option<&str>) -> Done {
+pub async fn instances(at: &Target, service: Option<&str>) -> CommandResult {
     let status = at.status().await?;
     let all = list(&status, "Instances").iter();
     let wanted: Vec<OwnedValue> = all
@@ -80,21 +80,21 @@
     print(format!("{}{more}{}\n", table(&heading, rows), by(&status)).as_bytes())
 }
 
-pub async fn status(at: &At) -> Done {
+pub async fn status(at: &Target) -> CommandResult {
     let status = at.status().await?;
     if at.json {
-        let (mut status, troubles) = (status.clone(), troubles(&status));
+        let (mut status, problems) = (status.clone(), problems(&status));
         if let Some(fields) = status.as_object_mut() {
-            fields.insert("Well".to_owned(), troubles.is_empty().into());
-            fields.insert("NotWell".to_owned(), troubles.into());
+            fields.insert("Well".to_owned(), problems.is_empty().into());
+            fields.insert("NotWell".to_owned(), problems.into());
         }
         return print_json(&status);
     }
-    print(words(&status).as_bytes())
+    print(render_status(&status).as_bytes())
 }
 
 /// Troubles named in the first line; the others are counted.
-const TROUBLES_MOST: usize = 6;
+const MAX_LISTED_PROBLEMS: usize = 6;
 
 fn up(standing: &str) -> bool {
     matches!(standing, "alive" | "suspect")
@@ -113,7 +113,7 @@
 }
 
 /// What is not as it should be, as one prompter knows it; what hurts most comes first.
-pub fn troubles(status: &OwnedValue) -> Vec<String> {
+pub fn problems(status: &OwnedValue) -> Vec<String> {
     let mut found = Vec::new();
     let members = list(status, "Members");
     let since = |member: &OwnedValue| match number(member, "SinceS") {
@@ -196,18 +196,18 @@
 
 /// The first line: whether all is well, or what is not.
 fn first(status: &OwnedValue) -> String {
-    let troubles = troubles(status);
-    if troubles.is_empty() {
+    let problems = problems(status);
+    if problems.is_empty() {
         return "all is well".to_owned();
     }
-    let more = troubles.len().saturating_sub(TROUBLES_MOST);
+    let more = problems.len().saturating_sub(MAX_LISTED_PROBLEMS);
     let more = if more > 0 { format!("; and {more} more") } else { String::new() };
-    let told: Vec<String> = troubles.into_iter().take(TROUBLES_MOST).collect();
+    let told: Vec<String> = problems.into_iter().take(MAX_LISTED_PROBLEMS).collect();
     format!("NOT WELL: {}{more}", told.join("; "))
 }
 
 /// The whole for people, as one prompter knows it.
-pub fn words(status: &OwnedValue) -> String {
+pub fn render_status(status: &OwnedValue) -> String {
     let mut out = format!("{}\n{}\n", first(status), by(status));
     let (committed, applied) = (count(status, "LogCommitted"), count(status, "LogApplied"));
     out.push_str(&format!("term {}, log at {committed}, applied {applied}\n", count(status, "Term")));
--- a/crates/playhouse/src/commands/view.rs
+++ b/crates/playhouse/src/commands/view.rs
@@ -12,17 +12,17 @@
 use crate::house::House;
 
 /// Instances that are listed; more are counted.
-const INSTANCES_MOST: usize = 2048;
+const MAX_LISTED_INSTANCES: usize = 2048;
 /// Within so long after a change every node that is in touch has it, and has told so.
-const HEARD_WITHIN: Micros = 2 * SECOND;
+const RECENT_STATUS_WINDOW: Micros = 2 * SECOND;
 
 /// How the writes of this prompter fare.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Disk {
+pub struct DiskHealth {
     /// For how long the oldest write has waited.
-    pub waits: Option<Micros>,
+    pub oldest_write_wait: Option<Micros>,
     /// The disk said that it failed, and nothing has been written since.
-    pub fails: bool,
+    pub failing: bool,
 }
 
 fn seconds(span: Micros) -> f64 {
@@ -52,7 +52,7 @@
 }
 
 /// The system as this prompter sees it at `now`.
-pub fn view(control: &Control, disk: Disk, now: Micros) -> OwnedValue {
+pub fn status_json(control: &Control, disk: DiskHealth, now: Micros) -> OwnedValue {
     let (house, book) = (&control.house, control.book());
     let seat = control.seat();
     let voters: Vec<OwnedValue> = (book.members().0.iter())
@@ -67,7 +67,7 @@
     let (mut instances, mut more) = (Vec::new(), 0);
     for record in house.cast.instances() {
         counts.entry(&record.service).or_default()[record.state as usize] += 1;
-        if instances.len() < INSTANCES_MOST {
+        if instances.len() < MAX_LISTED_INSTANCES {
             instances.push(instance(now, record));
         } else {
             more += 1;
@@ -93,7 +93,7 @@
         "LogCommitted": book.commit_index().0,
         "LogApplied": house.script.last_applied().0,
         "ConfigVersion": house.script.configuration_version().to_string(),
-        "Disk": { "WaitsS": disk.waits.map(seconds), "Fails": disk.fails },
+        "Disk": { "WaitsS": disk.oldest_write_wait.map(seconds), "Fails": disk.failing },
         "Voters": voters,
         "Members": members,
         "Rollouts": rollouts,
@@ -109,7 +109,7 @@
         Role::ControlNode => "prompter",
     };
     let here = house.board.index().0;
-    let behind = house.holds(member.address, HEARD_WITHIN).map(|index| here.saturating_sub(index.0));
+    let behind = house.holds(member.address, RECENT_STATUS_WINDOW).map(|index| here.saturating_sub(index.0));
     simd_json::json!({
         "Name": member.name.clone(), "Place": member.address.to_string(), "Life": life(member.run_id), "Part": part,
         "Zone": member.zone.clone(), "Standing": standing,
--- a/crates/playhouse/src/control.rs
+++ b/crates/playhouse/src/control.rs
@@ -15,7 +15,7 @@
 use types::{CallId, Carrier, FormatVersion, LogIndex, MS, Micros, NodeAddress, SECOND, VoterId};
 
 use crate::house::{Happened, House, Letter, Word};
-use crate::settings::Spans;
+use crate::settings::DerivedTimings;
 
 /// Bytes of commands applied after which the log is cut by a snapshot.
 const KEEP_AFTER: usize = 512 << 10;
@@ -129,17 +129,17 @@
 impl Control {
     /// A prompter's start. `first` are the first voters, on the first start of the whole system only.
     pub fn start(
-        mut house: House, seat: VoterId, first: Option<Members>, saved: PersistentState, spans: &Spans,
-        seed: u64, now: Micros,
+        mut house: House, seat: VoterId, first: Option<Members>, saved: PersistentState,
+        spans: &DerivedTimings, seed: u64, now: Micros,
     ) -> (Control, Vec<Out>) {
-        house.cast.set_drain_limit(spans.drain);
-        house.script.set_acknowledgement_timeout(spans.ack);
-        let (book, effects) = RaftNode::start(seat, first, saved, spans.book, seed, now);
+        house.cast.set_drain_limit(spans.drain_limit);
+        house.script.set_acknowledgement_timeout(spans.ack_timeout);
+        let (book, effects) = RaftNode::start(seat, first, saved, spans.consensus, seed, now);
         let mut control = Control {
             house,
             book,
             seat,
-            count: VerdictTally::new(spans.count.clone()),
+            count: VerdictTally::new(spans.verdicts.clone()),
             count_due: now,
             kept: (0, now - MEMORY_EVERY),
             memory_due: Micros::MAX,
@@ -151,8 +151,8 @@
             may_agree: None,
             own_ask: u64::MAX / 2,
             // Two of its beats, and half of one for the way.
-            sent_on: spans.book.heartbeat_interval * 5 / 2,
-            hand_over: spans.hand_over,
+            sent_on: spans.consensus.heartbeat_interval * 5 / 2,
+            hand_over: spans.leadership_transfer_timeout,
             leaving: None,
             inspector: None,
             out: Vec::new(),
--- a/crates/playhouse/src/demo/client.rs
+++ b/crates/playhouse/src/demo/client.rs
@@ -16,15 +16,15 @@
 use tokio::time::timeout;
 
 /// Bytes of an answer at most.
-const ANSWER_MOST: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// Tries of one request at most, as clients of the system make them.
-const TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 /// A pause before a further try where the answer names none.
-const PAUSE: Duration = Duration::from_millis(50);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// A foyer that misses its readiness so often gets no new connections.
-const MISSES: u32 = 2;
+const UNREADY_PROBES: u32 = 2;
 /// Requests open at once; more are not begun, and count as failed.
-const OPEN_MOST: usize = 2_000;
+const MAX_OPEN_REQUESTS: usize = 2_000;
 
 /// Locks what no holder leaves half-changed.
 pub fn lock<T>(what: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -33,7 +33,7 @@
 
 /// Why a call got no answer.
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
+pub enum CallError {
     #[error("no connection to {0}: {1}")]
     Connect(SocketAddrV4, std::io::Error),
     #[error("{0} closed the connection before anything was sent")]
@@ -48,13 +48,13 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
-impl Answer {
+impl HttpResponse {
     /// A header's text; empty where there is none.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
@@ -67,7 +67,7 @@
 
 /// What is asked; `uri` is a path and perhaps a query.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct HttpRequest {
     pub method: Method,
     pub uri: String,
     pub headers: Vec<(String, String)>,
@@ -76,24 +76,24 @@
     pub chunks: Option<usize>,
 }
 
-impl Ask {
-    pub fn new(method: Method, uri: &str) -> Ask {
-        Ask { method, uri: uri.to_owned(), headers: Vec::new(), body: Bytes::new(), chunks: None }
+impl HttpRequest {
+    pub fn new(method: Method, uri: &str) -> HttpRequest {
+        HttpRequest { method, uri: uri.to_owned(), headers: Vec::new(), body: Bytes::new(), chunks: None }
     }
 
-    pub fn with(mut self, name: &str, value: impl Into<String>) -> Ask {
+    pub fn with_header(mut self, name: &str, value: impl Into<String>) -> HttpRequest {
         self.headers.push((name.to_owned(), value.into()));
         self
     }
 
-    pub fn json(mut self, body: impl Into<Bytes>) -> Ask {
+    pub fn json(mut self, body: impl Into<Bytes>) -> HttpRequest {
         self.body = body.into();
-        self.with("Content-Type", "application/json")
+        self.with_header("Content-Type", "application/json")
     }
 }
 
 /// One client's connection.
-pub struct Line {
+pub struct Connection {
     to: SocketAddrV4,
     sender: SendRequest<Sent>,
     task: JoinHandle<()>,
@@ -101,52 +101,52 @@
 
 type Sent = http_body_util::combinators::UnsyncBoxBody<Bytes, std::convert::Infallible>;
 
-impl Drop for Line {
+impl Drop for Connection {
     /// The connection goes with whoever holds it.
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Line {
-    pub async fn open(to: SocketAddrV4) -> Result<Line, Failed> {
-        let stream = TcpStream::connect(to).await.map_err(|error| Failed::Connect(to, error))?;
+impl Connection {
+    pub async fn open(to: SocketAddrV4) -> Result<Connection, CallError> {
+        let stream = TcpStream::connect(to).await.map_err(|error| CallError::Connect(to, error))?;
         let _ = stream.set_nodelay(true);
         let shaken = Builder::new().handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(|error| Failed::Broken(to, error.into()))?;
+        let (sender, connection) = shaken.map_err(|error| CallError::Broken(to, error.into()))?;
         let task = tokio::spawn(async move {
             let _ = connection.await;
         });
-        Ok(Line { to, sender, task })
+        Ok(Connection { to, sender, task })
     }
 
     /// Whether another request can go out here.
-    pub fn open_still(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
     /// Sends a request and takes the whole answer.
-    pub async fn ask(&mut self, ask: &Ask) -> Result<Answer, Failed> {
-        let broken = |error: hyper::Error| Failed::Broken(self.to, error.into());
+    pub async fn send(&mut self, ask: &HttpRequest) -> Result<HttpResponse, CallError> {
+        let broken = |error: hyper::Error| CallError::Broken(self.to, error.into());
         if self.sender.ready().await.is_err() {
-            return Err(Failed::Unsent(self.to));
+            return Err(CallError::Unsent(self.to));
         }
         let request = request(self.to, ask)?;
         let response = match self.sender.try_send_request(request).await {
             Ok(response) => response,
             Err(mut error) => match error.take_message() {
-                Some(_) => return Err(Failed::Unsent(self.to)),
+                Some(_) => return Err(CallError::Unsent(self.to)),
                 None => return Err(broken(error.into_error())),
             },
         };
         let (head, body) = response.into_parts();
-        let body = Limited::new(body, ANSWER_MOST).collect().await;
-        let body = body.map_err(|error| Failed::Broken(self.to, error))?.to_bytes();
-        Ok(Answer { status: head.status, headers: head.headers, body })
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+        let body = body.map_err(|error| CallError::Broken(self.to, error))?.to_bytes();
+        Ok(HttpResponse { status: head.status, headers: head.headers, body })
     }
 }
 
-fn request(to: SocketAddrV4, ask: &Ask) -> Result<Request<Sent>, Failed> {
+fn request(to: SocketAddrV4, ask: &HttpRequest) -> Result<Request<Sent>, CallError> {
     let mut request = Request::builder().method(ask.method.clone()).uri(&ask.uri);
     if !ask.headers.iter().any(|(name, _)| name.eq_ignore_ascii_case("host")) {
         request = request.header(header::HOST, to.to_string());
@@ -158,7 +158,7 @@
         Some(size) => Chunks { left: ask.body.clone(), size: size.max(1) }.boxed_unsync(),
         None => Full::new(ask.body.clone()).boxed_unsync(),
     };
-    request.body(body).map_err(|_| Failed::Request(ask.uri.clone()))
+    request.body(body).map_err(|_| CallError::Request(ask.uri.clone()))
 }
 
 /// A body of unknown length.
@@ -180,34 +180,34 @@
 }
 
 /// One call on a connection of its own, over within `wait`.
-pub async fn call(to: SocketAddrV4, ask: &Ask, wait: Duration) -> Result<Answer, Failed> {
-    let exchange = async { Line::open(to).await?.ask(ask).await };
-    timeout(wait, exchange).await.unwrap_or(Err(Failed::Silent(to)))
+pub async fn call(to: SocketAddrV4, ask: &HttpRequest, wait: Duration) -> Result<HttpResponse, CallError> {
+    let exchange = async { Connection::open(to).await?.send(ask).await };
+    timeout(wait, exchange).await.unwrap_or(Err(CallError::Silent(to)))
 }
 
 /// What a crowd asks for.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct Workload {
     pub host: String,
     pub path: String,
     pub method: Method,
     /// May be sent again after any failure.
     pub safe: bool,
     /// How long a client waits.
-    pub wait: Duration,
+    pub timeout: Duration,
     /// Bytes of a request's body.
-    pub bytes: usize,
+    pub body_bytes: usize,
     /// Requests a second.
-    pub rate: f64,
+    pub requests_per_second: f64,
 }
 
 /// What became of one request, all of its tries together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// A success with the instance's seal, in time.
     Served,
     /// The last word was a promise that it has not run.
-    TurnedBack,
+    Rejected,
     Failed,
 }
 
@@ -215,38 +215,38 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub served: usize,
-    pub turned_back: usize,
+    pub rejected: usize,
     pub failed: usize,
     /// From the first try to the whole answer, of those served.
-    pub took: Vec<Duration>,
+    pub latencies: Vec<Duration>,
     /// What the last try of a failed request came to, and how often.
-    pub faults: HashMap<String, usize>,
+    pub failures: HashMap<String, usize>,
 }
 
 impl Counts {
-    pub fn all(&self) -> usize {
-        self.served + self.turned_back + self.failed
+    pub fn total(&self) -> usize {
+        self.served + self.rejected + self.failed
     }
 
     /// The time that a share of those served did not exceed.
     pub fn quantile(&self, share: f64) -> Option<Duration> {
-        let mut took = self.took.clone();
+        let mut took = self.latencies.clone();
         took.sort_unstable();
         let at = (took.len() as f64 * share).ceil() as usize;
         took.get(at.saturating_sub(1).min(took.len().checked_sub(1)?)).copied()
     }
 
-    fn count(&mut self, end: End, took: Duration, fault: String) {
+    fn count(&mut self, end: Outcome, took: Duration, fault: String) {
         match end {
-            End::Served => {
+            Outcome::Served => {
                 self.served += 1;
-                self.took.push(took);
+                self.latencies.push(took);
             }
-            End::TurnedBack => self.turned_back += 1,
-            End::Failed => {
+            Outcome::Rejected => self.rejected += 1,
+            Outcome::Failed => {
                 self.failed += 1;
-                if self.faults.len() < 100 {
-                    *self.faults.entry(fault).or_default() += 1;
+                if self.failures.len() < 100 {
+                    *self.failures.entry(fault).or_default() += 1;
                 }
             }
         }
@@ -254,7 +254,7 @@
 }
 
 /// The platform before the foyers: asks each whether it is ready, and hands clients to those that are.
-pub struct Platform {
+pub struct LoadBalancer {
     foyers: Vec<Foyer>,
     next: Mutex<usize>,
 }
@@ -265,18 +265,22 @@
     misses: Mutex<u32>,
 }
 
-impl Platform {
+impl LoadBalancer {
     /// Pairs of frontend and readiness addresses; all count as out until they have answered.
-    pub fn new(foyers: Vec<(SocketAddrV4, SocketAddrV4)>) -> Arc<Platform> {
-        let foyer = |(frontend, readiness)| Foyer { frontend, readiness, misses: Mutex::new(MISSES) };
-        Arc::new(Platform { foyers: foyers.into_iter().map(foyer).collect(), next: Mutex::new(0) })
+    pub fn new(foyers: Vec<(SocketAddrV4, SocketAddrV4)>) -> Arc<LoadBalancer> {
+        let foyer = |(frontend, readiness)| Foyer { frontend, readiness, misses: Mutex::new(UNREADY_PROBES) };
+        Arc::new(LoadBalancer { foyers: foyers.into_iter().map(foyer).collect(), next: Mutex::new(0) })
     }
 
     /// Asks all foyers once whether they are ready.
     pub async fn probe(&self) {
         for foyer in &self.foyers {
-            let answer =
-                call(foyer.readiness, &Ask::new(Method::GET, "/api/readiness"), Duration::from_secs(1)).await;
+            let answer = call(
+                foyer.readiness,
+                &HttpRequest::new(Method::GET, "/api/readiness"),
+                Duration::from_secs(1),
+            )
+            .await;
             let ready = answer.is_ok_and(|answer| answer.status == StatusCode::OK);
             let mut misses = lock(&foyer.misses);
             *misses = if ready { 0 } else { *misses + 1 };
@@ -285,14 +289,14 @@
 
     /// How many foyers get clients.
     pub fn ready(&self) -> usize {
-        self.foyers.iter().filter(|foyer| *lock(&foyer.misses) < MISSES).count()
+        self.foyers.iter().filter(|foyer| *lock(&foyer.misses) < UNREADY_PROBES).count()
     }
 
     /// A foyer for a new connection: in turn, of those that are in; of all where none is.
     pub fn pick(&self) -> SocketAddrV4 {
         let all: Vec<&Foyer> = self.foyers.iter().collect();
         let mut some = all.clone();
-        some.retain(|foyer| *lock(&foyer.misses) < MISSES);
+        some.retain(|foyer| *lock(&foyer.misses) < UNREADY_PROBES);
         let from = if some.is_empty() { all } else { some };
         let mut next = lock(&self.next);
         *next += 1;
@@ -301,20 +305,20 @@
 }
 
 /// Asks until it is dropped.
-pub struct Crowd {
+pub struct LoadGenerator {
     counts: Arc<Mutex<Counts>>,
     task: JoinHandle<()>,
 }
 
-impl Drop for Crowd {
+impl Drop for LoadGenerator {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Crowd {
+impl LoadGenerator {
     /// Begins to ask for all kinds at their rates. Connections are kept and used again.
-    pub fn start(platform: Arc<Platform>, kinds: Vec<Kind>) -> Crowd {
+    pub fn start(platform: Arc<LoadBalancer>, kinds: Vec<Workload>) -> LoadGenerator {
         let counts: Arc<Mutex<Counts>> = Arc::default();
         let all = counts.clone();
         let task = tokio::spawn(async move {
@@ -333,7 +337,7 @@
             }
             while askers.join_next().await.is_some() {}
         });
-        Crowd { counts, task }
+        LoadGenerator { counts, task }
     }
 
     /// What has come of the requests that ended since this was asked last.
@@ -342,16 +346,17 @@
     }
 }
 
-async fn asks(number: usize, kind: Kind, platform: Arc<Platform>, counts: Arc<Mutex<Counts>>) {
-    let idle: Arc<Mutex<Vec<Line>>> = Arc::default();
-    let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / kind.rate.clamp(0.1, 10_000.0)));
+async fn asks(number: usize, kind: Workload, platform: Arc<LoadBalancer>, counts: Arc<Mutex<Counts>>) {
+    let idle: Arc<Mutex<Vec<Connection>>> = Arc::default();
+    let mut ticks =
+        tokio::time::interval(Duration::from_secs_f64(1.0 / kind.requests_per_second.clamp(0.1, 10_000.0)));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut open = tokio::task::JoinSet::new();
     for serial in 0u64.. {
         ticks.tick().await;
         while open.try_join_next().is_some() {}
-        if open.len() >= OPEN_MOST {
-            lock(&counts).count(End::Failed, Duration::ZERO, "too many open".to_owned());
+        if open.len() >= MAX_OPEN_REQUESTS {
+            lock(&counts).count(Outcome::Failed, Duration::ZERO, "too many open".to_owned());
             continue;
         }
         let (kind, platform, counts, idle) = (kind.clone(), platform.clone(), counts.clone(), idle.clone());
@@ -365,45 +370,47 @@
 
 /// One request with its further tries.
 async fn request_of(
-    kind: &Kind, number: usize, serial: u64, platform: &Platform, idle: &Mutex<Vec<Line>>,
-) -> (End, String) {
+    kind: &Workload, number: usize, serial: u64, platform: &LoadBalancer, idle: &Mutex<Vec<Connection>>,
+) -> (Outcome, String) {
     let began = Instant::now();
-    let body = Bytes::from(vec![b'a' + (serial % 26) as u8; kind.bytes]);
-    let (mut end, mut fault) = (End::Failed, "not begun".to_owned());
-    for number_of_try in 0..TRIES {
-        let Some(left) = kind.wait.checked_sub(began.elapsed()).filter(|left| !left.is_zero()) else { break };
-        let mut ask = Ask::new(kind.method.clone(), &format!("{}{serial}", kind.path))
-            .with("Host", kind.host.clone())
-            .with("Attempt-Id", format!("{number:02x}{serial:012x}{number_of_try:02x}"))
-            .with("Remaining-Time", left.as_millis().to_string());
+    let body = Bytes::from(vec![b'a' + (serial % 26) as u8; kind.body_bytes]);
+    let (mut end, mut fault) = (Outcome::Failed, "not begun".to_owned());
+    for number_of_try in 0..MAX_ATTEMPTS {
+        let Some(left) = kind.timeout.checked_sub(began.elapsed()).filter(|left| !left.is_zero()) else {
+            break;
+        };
+        let mut ask = HttpRequest::new(kind.method.clone(), &format!("{}{serial}", kind.path))
+            .with_header("Host", kind.host.clone())
+            .with_header("Attempt-Id", format!("{number:02x}{serial:012x}{number_of_try:02x}"))
+            .with_header("Remaining-Time", left.as_millis().to_string());
         ask.body = body.clone();
         let answer = timeout(left, one(&ask, number_of_try == 0, platform, idle)).await;
         let pause = match answer {
-            Err(_) => return (End::Failed, "no answer in time".to_owned()),
+            Err(_) => return (Outcome::Failed, "no answer in time".to_owned()),
             Ok(Err(error)) => {
-                (end, fault) = (End::Failed, error.to_string());
-                let never_sent = matches!(error, Failed::Connect(..) | Failed::Unsent(_));
+                (end, fault) = (Outcome::Failed, error.to_string());
+                let never_sent = matches!(error, CallError::Connect(..) | CallError::Unsent(_));
                 if !kind.safe && !never_sent {
                     break;
                 }
-                PAUSE
+                DEFAULT_RETRY_DELAY
             }
             Ok(Ok(answer)) => {
                 let sealed = !answer.header("Server-Seal").is_empty();
                 let status = answer.status.as_u16();
                 fault = format!("status {status}");
                 end = match status {
-                    200..300 if sealed => return (End::Served, String::new()),
-                    429 | 503 | 408 | 421 => End::TurnedBack,
-                    _ => End::Failed,
+                    200..300 if sealed => return (Outcome::Served, String::new()),
+                    429 | 503 | 408 | 421 => Outcome::Rejected,
+                    _ => Outcome::Failed,
                 };
                 let over = matches!(status, 200..400 | 400 | 401 | 404 | 413 | 431);
-                if over || (end == End::Failed && !kind.safe) {
+                if over || (end == Outcome::Failed && !kind.safe) {
                     break;
                 }
                 let told = answer.header("Retry-After").parse::<f64>().ok();
                 let told = told.filter(|told| (0.0..60.0).contains(told)).map(Duration::from_secs_f64);
-                told.unwrap_or(PAUSE)
+                told.unwrap_or(DEFAULT_RETRY_DELAY)
             }
         };
         tokio::time::sleep(pause.min(left / 3)).await;
@@ -412,15 +419,17 @@
 }
 
 /// One try: on an idle connection at first, on a new one later.
-async fn one(ask: &Ask, first: bool, platform: &Platform, idle: &Mutex<Vec<Line>>) -> Result<Answer, Failed> {
-    let kept = first.then(|| lock(idle).pop()).flatten().filter(Line::open_still);
+async fn one(
+    ask: &HttpRequest, first: bool, platform: &LoadBalancer, idle: &Mutex<Vec<Connection>>,
+) -> Result<HttpResponse, CallError> {
+    let kept = first.then(|| lock(idle).pop()).flatten().filter(Connection::is_open);
     let mut line = match kept {
         Some(line) => line,
-        None => Line::open(platform.pick()).await?,
+        None => Connection::open(platform.pick()).await?,
     };
-    let answer = line.ask(ask).await?;
+    let answer = line.send(ask).await?;
     let closes = answer.header("Connection").eq_ignore_ascii_case("close");
-    if !closes && line.open_still() {
+    if !closes && line.is_open() {
         lock(idle).push(line);
     }
     Ok(answer)
--- a/crates/playhouse/src/demo/stage.rs
+++ b/crates/playhouse/src/demo/cluster.rs
@@ -11,7 +11,7 @@
 
 use membership::Role;
 
-use crate::settings::VARIABLE;
+use crate::settings::SETTINGS_PATH_VARIABLE;
 
 /// The zones of a stage; nodes are dealt to them in turn.
 pub const ZONES: [&str; 3] = ["stalls-a", "stalls-b", "stalls-c"];
@@ -22,7 +22,7 @@
 /// Where instances begin within a block, after all nodes.
 const INSTANCES: u8 = 20;
 /// A stage with more nodes than fit a block has a whole net of addresses to itself.
-const WIDE_FOYERS: usize = 200;
+const MAX_GATEWAYS: usize = 200;
 const WIDE_FIRST: u8 = 2;
 const WIDE_INSTANCES: u8 = 215;
 const WIDE_LAST: u8 = 250;
@@ -35,7 +35,7 @@
 
 /// Why a stage can't be set up or a node can't be run.
 #[derive(Debug, thiserror::Error)]
-pub enum StageError {
+pub enum ClusterError {
     #[error("{what} {path}: {error}")]
     File { what: &'static str, path: PathBuf, error: io::Error },
     #[error("{name} can't be started: {error}")]
@@ -47,9 +47,9 @@
     #[error("no ports are free on {address}: {error}")]
     Ports { address: Ipv4Addr, error: io::Error },
     #[error(
-        "{wanted} prompters and {foyers} foyers asked for; 1 to 9 and 1 to {WIDE_FOYERS} can stand on a stage"
+        "{control_nodes} prompters and {gateways} foyers asked for; 1 to 9 and 1 to {MAX_GATEWAYS} can stand on a stage"
     )]
-    Size { wanted: usize, foyers: usize },
+    Size { control_nodes: usize, gateways: usize },
 }
 
 /// The ports that all nodes of a stage use, each at its own address.
@@ -72,7 +72,7 @@
 
 /// Names a node of a stage, in the order of setting up: prompters first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct NodeNo(pub usize);
+pub struct NodeIndex(pub usize);
 
 /// Which loopback addresses a stage uses.
 #[derive(Clone, Copy, Debug)]
@@ -117,11 +117,11 @@
 
 /// How a stage is set up.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ClusterConfig {
     /// The system's program.
     pub program: PathBuf,
-    pub prompters: usize,
-    pub foyers: usize,
+    pub control_nodes: usize,
+    pub gateways: usize,
     /// Where files are kept; without it they go to the system's folder for passing files, and go with the stage.
     pub folder: Option<PathBuf>,
     /// What the nodes log, as `RUST_LOG` has it.
@@ -130,7 +130,7 @@
 
 /// Ends its nodes and removes its files when it is dropped, also where a test or the demonstration fails.
 #[derive(Debug)]
-pub struct Stage {
+pub struct TestCluster {
     program: PathBuf,
     folder: PathBuf,
     remove: bool,
@@ -140,28 +140,28 @@
     addresses: Addresses,
 }
 
-impl Stage {
+impl TestCluster {
     /// Sets up folders and settings; starts nothing yet.
-    pub fn set(plan: Plan) -> Result<Stage, StageError> {
-        if !(1..=9).contains(&plan.prompters) || !(1..=WIDE_FOYERS).contains(&plan.foyers) {
-            return Err(StageError::Size { wanted: plan.prompters, foyers: plan.foyers });
+    pub fn create(plan: ClusterConfig) -> Result<TestCluster, ClusterError> {
+        if !(1..=9).contains(&plan.control_nodes) || !(1..=MAX_GATEWAYS).contains(&plan.gateways) {
+            return Err(ClusterError::Size { control_nodes: plan.control_nodes, gateways: plan.gateways });
         }
         let pid = std::process::id();
         let block = STAGES.fetch_add(1, Ordering::Relaxed) % BLOCKS;
-        let addresses = Addresses::of(pid, block, plan.foyers > 9);
+        let addresses = Addresses::of(pid, block, plan.gateways > 9);
         let at = |number: u8| addresses.at(number);
         let name = format!("garnetdoor-stage-{pid}-{block}");
         let folder = plan.folder.clone().unwrap_or_else(|| std::env::temp_dir().join(name));
         let file = |what, path: &Path| {
             let path = path.to_owned();
-            move |error| StageError::File { what, path, error }
+            move |error| ClusterError::File { what, path, error }
         };
         if plan.folder.is_none() && folder.exists() {
             // Left by a process that was killed and had this id before.
             fs::remove_dir_all(&folder).map_err(file("can't clear", &folder))?;
         }
         fs::create_dir_all(&folder).map_err(file("can't make", &folder))?;
-        let mut stage = Stage {
+        let mut stage = TestCluster {
             program: plan.program,
             folder,
             remove: plan.folder.is_none(),
@@ -170,7 +170,8 @@
             ports: free_ports(at(0))?,
             addresses,
         };
-        let parts = [(Role::ControlNode, "prompter", plan.prompters), (Role::Gateway, "foyer", plan.foyers)];
+        let parts =
+            [(Role::ControlNode, "prompter", plan.control_nodes), (Role::Gateway, "foyer", plan.gateways)];
         for (part, name, count) in parts {
             for number in 1..=count {
                 let (name, address) = (format!("{name}-{number}"), at(stage.nodes.len() as u8));
@@ -178,7 +179,7 @@
             }
         }
         for number in 0..stage.nodes.len() {
-            stage.write_settings(NodeNo(number), true)?;
+            stage.write_settings(NodeIndex(number), true)?;
         }
         Ok(stage)
     }
@@ -188,37 +189,37 @@
     }
 
     /// The nodes that play a part, whether they run or not.
-    pub fn nodes(&self, part: Role) -> Vec<NodeNo> {
-        (0..self.nodes.len()).filter(|n| self.nodes[*n].part == part).map(NodeNo).collect()
+    pub fn nodes(&self, part: Role) -> Vec<NodeIndex> {
+        (0..self.nodes.len()).filter(|n| self.nodes[*n].part == part).map(NodeIndex).collect()
     }
 
-    pub fn name(&self, node: NodeNo) -> &str {
+    pub fn name(&self, node: NodeIndex) -> &str {
         &self.nodes[node.0].name
     }
 
     /// Where clients reach a foyer.
-    pub fn frontend(&self, node: NodeNo) -> SocketAddrV4 {
+    pub fn frontend(&self, node: NodeIndex) -> SocketAddrV4 {
         SocketAddrV4::new(self.nodes[node.0].address, self.ports.frontend)
     }
 
     /// Where the platform asks a foyer whether it is ready.
-    pub fn readiness(&self, node: NodeNo) -> SocketAddrV4 {
+    pub fn readiness(&self, node: NodeIndex) -> SocketAddrV4 {
         SocketAddrV4::new(self.nodes[node.0].address, self.ports.readiness)
     }
 
     /// Where operators and instances reach a prompter.
-    pub fn control(&self, node: NodeNo) -> SocketAddrV4 {
+    pub fn control(&self, node: NodeIndex) -> SocketAddrV4 {
         SocketAddrV4::new(self.nodes[node.0].address, self.ports.control)
     }
 
     /// All prompters' addresses, in order.
-    pub fn controls(&self) -> Vec<SocketAddrV4> {
+    pub fn control_addresses(&self) -> Vec<SocketAddrV4> {
         self.nodes(Role::ControlNode).into_iter().map(|node| self.control(node)).collect()
     }
 
     /// The prompter at an address.
-    pub fn at(&self, address: Ipv4Addr) -> Option<NodeNo> {
-        self.nodes.iter().position(|node| node.address == address).map(NodeNo)
+    pub fn node_at(&self, address: Ipv4Addr) -> Option<NodeIndex> {
+        self.nodes.iter().position(|node| node.address == address).map(NodeIndex)
     }
 
     /// An address for one more instance; `None` when the block is full.
@@ -226,14 +227,15 @@
         self.addresses.instance()
     }
 
-    fn path(&self, node: NodeNo, ending: &str) -> PathBuf {
+    fn path(&self, node: NodeIndex, ending: &str) -> PathBuf {
         self.folder.join(format!("{}{ending}", self.nodes[node.0].name))
     }
 
-    fn write_settings(&self, number: NodeNo, first: bool) -> Result<(), StageError> {
+    fn write_settings(&self, number: NodeIndex, first: bool) -> Result<(), ClusterError> {
         let (node, ports) = (&self.nodes[number.0], self.ports);
         let (address, zone) = (node.address, ZONES[number.0 % ZONES.len()]);
-        let seeds: Vec<String> = self.controls().iter().take(3).map(|seed| format!("\"{seed}\"")).collect();
+        let seeds: Vec<String> =
+            self.control_addresses().iter().take(3).map(|seed| format!("\"{seed}\"")).collect();
         let (class, served, listen, disk) = match node.part {
             Role::Gateway => {
                 let listen = format!(
@@ -244,7 +246,7 @@
             }
             Role::ControlNode => {
                 let data = self.path(number, "-data");
-                fs::create_dir_all(&data).map_err(|error| StageError::File {
+                fs::create_dir_all(&data).map_err(|error| ClusterError::File {
                     what: "can't make",
                     path: data.clone(),
                     error,
@@ -272,12 +274,12 @@
             seeds = seeds.join(", "),
         );
         let path = self.path(number, ".toml");
-        fs::write(&path, text).map_err(|error| StageError::File { what: "can't write", path, error })
+        fs::write(&path, text).map_err(|error| ClusterError::File { what: "can't write", path, error })
     }
 
     /// Starts a node that does not run; one that does is left alone.
-    pub fn start(&mut self, number: NodeNo) -> Result<(), StageError> {
-        if self.runs(number) {
+    pub fn start(&mut self, number: NodeIndex) -> Result<(), ClusterError> {
+        if self.is_running(number) {
             return Ok(());
         }
         let path = self.path(number, ".log");
@@ -285,39 +287,40 @@
             let log = OpenOptions::new().create(true).append(true).open(path)?;
             Ok((log.try_clone()?, log))
         };
-        let (out, err) = open(&path).map_err(|error| StageError::File { what: "can't open", path, error })?;
+        let (out, err) =
+            open(&path).map_err(|error| ClusterError::File { what: "can't open", path, error })?;
         let verb = match self.nodes[number.0].part {
             Role::Gateway => "foyer",
             Role::ControlNode => "prompter",
         };
         let child = Command::new(&self.program)
             .arg(verb)
-            .env(VARIABLE, self.path(number, ".toml"))
+            .env(SETTINGS_PATH_VARIABLE, self.path(number, ".toml"))
             .env("RUST_LOG", &self.log)
             .stdin(Stdio::null())
             .stdout(out)
             .stderr(err)
             .spawn()
-            .map_err(|error| StageError::Start { name: self.name(number).to_owned(), error })?;
+            .map_err(|error| ClusterError::Start { name: self.name(number).to_owned(), error })?;
         self.nodes[number.0].child = Some(child);
         Ok(())
     }
 
     /// Starts every node that does not run.
-    pub fn start_all(&mut self) -> Result<(), StageError> {
-        (0..self.nodes.len()).try_for_each(|number| self.start(NodeNo(number)))
+    pub fn start_all(&mut self) -> Result<(), ClusterError> {
+        (0..self.nodes.len()).try_for_each(|number| self.start(NodeIndex(number)))
     }
 
     /// Whether a node's process is there; one that has ended by itself is not.
-    pub fn runs(&mut self, number: NodeNo) -> bool {
-        matches!(self.ended(number), Ok(None))
+    pub fn is_running(&mut self, number: NodeIndex) -> bool {
+        matches!(self.exit_status(number), Ok(None))
     }
 
     /// How a node's process has ended; `None` while it runs. One that was never started, or was taken away by
     /// `kill`, is an error.
-    pub fn ended(&mut self, number: NodeNo) -> Result<Option<ExitStatus>, StageError> {
+    pub fn exit_status(&mut self, number: NodeIndex) -> Result<Option<ExitStatus>, ClusterError> {
         let node = &mut self.nodes[number.0];
-        let wait = |error| StageError::Wait { name: node.name.clone(), error };
+        let wait = |error| ClusterError::Wait { name: node.name.clone(), error };
         match &mut node.child {
             Some(child) => child.try_wait().map_err(wait),
             None => Err(wait(io::Error::other("it does not run"))),
@@ -325,36 +328,36 @@
     }
 
     /// The process of a node, while it runs or has not been looked at since.
-    pub fn pid(&self, number: NodeNo) -> Option<u32> {
+    pub fn pid(&self, number: NodeIndex) -> Option<u32> {
         self.nodes[number.0].child.as_ref().map(Child::id)
     }
 
     /// SIGKILL, at once and without a farewell; the disk stays. The settings say from now on that this is no first
     /// start of the whole system.
-    pub fn kill(&mut self, number: NodeNo) -> Result<(), StageError> {
+    pub fn kill(&mut self, number: NodeIndex) -> Result<(), ClusterError> {
         let node = &mut self.nodes[number.0];
         if let Some(mut child) = node.child.take() {
             let told = child.kill().and_then(|()| child.wait());
-            told.map_err(|error| StageError::Wait { name: node.name.clone(), error })?;
+            told.map_err(|error| ClusterError::Wait { name: node.name.clone(), error })?;
         }
         self.write_settings(number, false)
     }
 
     /// SIGTERM: the node ends in order, which `ended` tells.
-    pub fn term(&mut self, number: NodeNo) -> Result<(), StageError> {
+    pub fn terminate(&mut self, number: NodeIndex) -> Result<(), ClusterError> {
         self.tell(number, "TERM")
     }
 
     /// SIGHUP: the settings file has changed.
-    pub fn reload(&mut self, number: NodeNo) -> Result<(), StageError> {
+    pub fn reload(&mut self, number: NodeIndex) -> Result<(), ClusterError> {
         self.tell(number, "HUP")
     }
 
     /// The standard library sends no signal but SIGKILL, so the system's own program for it does.
-    fn tell(&mut self, number: NodeNo, signal: &'static str) -> Result<(), StageError> {
-        let runs = self.runs(number);
+    fn tell(&mut self, number: NodeIndex, signal: &'static str) -> Result<(), ClusterError> {
+        let runs = self.is_running(number);
         let node = &self.nodes[number.0];
-        let failed = |error| StageError::Signal { name: node.name.clone(), signal, error };
+        let failed = |error| ClusterError::Signal { name: node.name.clone(), signal, error };
         let Some(child) = node.child.as_ref().filter(|_| runs) else {
             return Err(failed(io::Error::other("it does not run")));
         };
@@ -370,7 +373,7 @@
     pub fn logs(&self, lines: usize) -> String {
         let mut all = String::new();
         for number in 0..self.nodes.len() {
-            let text = fs::read(self.path(NodeNo(number), ".log")).unwrap_or_default();
+            let text = fs::read(self.path(NodeIndex(number), ".log")).unwrap_or_default();
             let text = String::from_utf8_lossy(&text);
             let from = text.lines().count().saturating_sub(lines);
             for line in text.lines().skip(from) {
@@ -381,7 +384,7 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for TestCluster {
     /// Ends all nodes by their process ids; a folder of its own goes too.
     fn drop(&mut self) {
         for node in &mut self.nodes {
@@ -403,7 +406,7 @@
 }
 
 /// A set of ports that nobody has taken on all addresses.
-fn free_ports(address: Ipv4Addr) -> Result<Ports, StageError> {
+fn free_ports(address: Ipv4Addr) -> Result<Ports, ClusterError> {
     let mut last = io::Error::other("none tried");
     for number in 0..PORT_SETS {
         let ports = Ports::set(number);
@@ -413,5 +416,5 @@
             Err(error) => last = error,
         }
     }
-    Err(StageError::Ports { address, error: last })
+    Err(ClusterError::Ports { address, error: last })
 }
--- a/crates/playhouse/src/demo/instance.rs
+++ b/crates/playhouse/src/demo/instance.rs
@@ -19,23 +19,23 @@
 use tokio::sync::Semaphore;
 use tokio::task::{AbortHandle, JoinSet};
 
-use super::client::{Answer, Ask, Failed, lock};
+use super::client::{CallError, HttpRequest, HttpResponse, lock};
 
 /// Bytes of a request's body at most.
-const BODY_MOST: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 /// A beat's acknowledgement comes within this, or the next prompter is called.
-const BEAT_WAIT: Duration = Duration::from_secs(1);
-const BEAT_ANSWER_MOST: usize = 4 << 10;
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_HEARTBEAT_RESPONSE_BYTES: usize = 4 << 10;
 /// While it is warming up, work takes so many times as long.
-const COLD: u32 = 3;
+const WARMUP_SLOWDOWN: u32 = 3;
 /// Requests kept in the record; later ones are only counted.
-const RECORD_MOST: usize = 200_000;
+const MAX_RECORDED_REQUESTS: usize = 200_000;
 /// What an instance tells of its idle connections, in seconds.
 const KEEP_ALIVE: &str = "timeout=10";
 
 /// How an instance is.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct InstanceConfig {
     pub id: String,
     pub service: String,
     /// Of its software.
@@ -43,36 +43,36 @@
     pub zone: String,
     pub slots: usize,
     /// Requests that wait for a slot; more are turned away.
-    pub queue: usize,
-    pub work: Duration,
+    pub queue_limit: usize,
+    pub service_time: Duration,
     /// The share of its answers that fail (500).
-    pub fails: f64,
+    pub failure_ratio: f64,
     pub warmup: Duration,
-    pub beat: Duration,
-    pub connections: usize,
+    pub heartbeat_interval: Duration,
+    pub max_connections: usize,
 }
 
-impl Plan {
-    pub fn new(id: &str, service: &str, version: &str) -> Plan {
-        Plan {
+impl InstanceConfig {
+    pub fn new(id: &str, service: &str, version: &str) -> InstanceConfig {
+        InstanceConfig {
             id: id.to_owned(),
             service: service.to_owned(),
             version: version.to_owned(),
-            zone: super::stage::ZONES[0].to_owned(),
+            zone: super::cluster::ZONES[0].to_owned(),
             slots: 4,
-            queue: 8,
-            work: Duration::from_millis(5),
-            fails: 0.0,
+            queue_limit: 8,
+            service_time: Duration::from_millis(5),
+            failure_ratio: 0.0,
             warmup: Duration::ZERO,
-            beat: Duration::from_millis(500),
-            connections: 100,
+            heartbeat_interval: Duration::from_millis(500),
+            max_connections: 100,
         }
     }
 }
 
 /// What an instance saw of one request.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub instance: String,
     pub service: String,
     pub version: String,
@@ -85,7 +85,7 @@
     pub remaining: Option<u64>,
     /// `Target-Instance`, where it was there.
     pub target: Option<String>,
-    pub body: Print,
+    pub body: BodyDigest,
     /// Work on it was begun.
     pub ran: bool,
     /// The status and seal it was answered with; none while it is worked on, or if the caller has gone.
@@ -94,49 +94,49 @@
 
 /// A body told apart from others by length and sum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Print {
+pub struct BodyDigest {
     pub length: usize,
     pub sum: u64,
 }
 
-impl Print {
-    pub fn of(body: &[u8]) -> Print {
+impl BodyDigest {
+    pub fn of(body: &[u8]) -> BodyDigest {
         let mut hasher = DefaultHasher::new();
         body.hash(&mut hasher);
-        Print { length: body.len(), sum: hasher.finish() }
+        BodyDigest { length: body.len(), sum: hasher.finish() }
     }
 }
 
 /// What all instances of a stage saw, in order of arrival.
 #[derive(Clone, Default)]
-pub struct Record {
-    seen: Arc<Mutex<Vec<Seen>>>,
+pub struct RequestLog {
+    seen: Arc<Mutex<Vec<ReceivedRequest>>>,
     lost: Arc<AtomicUsize>,
 }
 
-impl Record {
+impl RequestLog {
     /// All that fit a question.
-    pub fn find(&self, fits: impl Fn(&Seen) -> bool) -> Vec<Seen> {
+    pub fn find(&self, fits: impl Fn(&ReceivedRequest) -> bool) -> Vec<ReceivedRequest> {
         lock(&self.seen).iter().filter(|seen| fits(seen)).cloned().collect()
     }
 
-    pub fn of(&self, attempt: &str) -> Vec<Seen> {
+    pub fn by_attempt(&self, attempt: &str) -> Vec<ReceivedRequest> {
         self.find(|seen| seen.attempt == attempt)
     }
 
     /// How many fit, without copying them.
-    pub fn count(&self, fits: impl Fn(&Seen) -> bool) -> usize {
+    pub fn count(&self, fits: impl Fn(&ReceivedRequest) -> bool) -> usize {
         lock(&self.seen).iter().filter(|seen| fits(seen)).count()
     }
 
     /// Requests that were not kept, since the record was full.
-    pub fn lost(&self) -> usize {
+    pub fn dropped(&self) -> usize {
         self.lost.load(Ordering::Relaxed)
     }
 
-    fn add(&self, one: Seen) -> Option<usize> {
+    fn add(&self, one: ReceivedRequest) -> Option<usize> {
         let mut seen = lock(&self.seen);
-        if seen.len() >= RECORD_MOST {
+        if seen.len() >= MAX_RECORDED_REQUESTS {
             self.lost.fetch_add(1, Ordering::Relaxed);
             return None;
         }
@@ -144,7 +144,7 @@
         Some(seen.len() - 1)
     }
 
-    fn mark(&self, at: Option<usize>, change: impl FnOnce(&mut Seen)) {
+    fn mark(&self, at: Option<usize>, change: impl FnOnce(&mut ReceivedRequest)) {
         if let Some(at) = at
             && let Some(seen) = lock(&self.seen).get_mut(at)
         {
@@ -155,9 +155,9 @@
 
 /// What the parts of one instance share.
 struct Life {
-    plan: Plan,
+    plan: InstanceConfig,
     address: SocketAddrV4,
-    record: Record,
+    record: RequestLog,
     started: Instant,
     slots: Semaphore,
     waiting: AtomicUsize,
@@ -189,7 +189,7 @@
 impl Instance {
     /// Begins to serve at an address and to beat.
     pub async fn start(
-        plan: Plan, address: SocketAddrV4, prompters: Vec<SocketAddrV4>, record: Record,
+        plan: InstanceConfig, address: SocketAddrV4, prompters: Vec<SocketAddrV4>, record: RequestLog,
     ) -> std::io::Result<Instance> {
         let listener = TcpListener::bind(address).await?;
         let address = match listener.local_addr()? {
@@ -220,7 +220,7 @@
         &self.life.plan.id
     }
 
-    pub fn plan(&self) -> &Plan {
+    pub fn plan(&self) -> &InstanceConfig {
         &self.life.plan
     }
 
@@ -235,7 +235,7 @@
 
     /// Reports that it is leaving until that is acknowledged, and tells when it was; it goes on serving. `None` if
     /// nobody took it within `patience`.
-    pub async fn drain(&self, patience: Duration) -> Option<Instant> {
+    pub async fn drain(&self, timeout: Duration) -> Option<Instant> {
         self.life.leaving.store(true, Ordering::Relaxed);
         let taken = async {
             while !self.life.beat().await {
@@ -243,14 +243,14 @@
             }
             Instant::now()
         };
-        tokio::time::timeout(patience, taken).await.ok()
+        tokio::time::timeout(timeout, taken).await.ok()
     }
 
     /// Says good-bye for good and stops; true if that was acknowledged.
     pub async fn detach(self) -> bool {
         self.beating.abort();
         let path = format!("/api/Instances.Detach/{}", self.life.plan.id);
-        self.life.tell(&Ask::new(Method::POST, &path).json("{}")).await.is_some()
+        self.life.tell(&HttpRequest::new(Method::POST, &path).json("{}")).await.is_some()
     }
 }
 
@@ -262,7 +262,7 @@
             continue;
         };
         while connections.try_join_next().is_some() {}
-        if life.connections.load(Ordering::Relaxed) >= life.plan.connections {
+        if life.connections.load(Ordering::Relaxed) >= life.plan.max_connections {
             continue;
         }
         let _ = stream.set_nodelay(true);
@@ -303,7 +303,7 @@
 /// An answer of the instance, with or without a promise that nothing was run.
 fn told(life: &Life, status: u16, attempt: &str, ran: bool, body: Bytes) -> (Response<Full<Bytes>>, String) {
     let serial = life.serial.fetch_add(1, Ordering::Relaxed);
-    let print = Print::of(&body);
+    let print = BodyDigest::of(&body);
     let seal = format!("{}.{serial:x}.{:x}.{:016x}", life.plan.id, print.length, print.sum);
     let mut answer = Response::builder()
         .status(status)
@@ -331,14 +331,14 @@
     if head.uri.path() == "/health" {
         return health(life).await;
     }
-    let body = match Limited::new(body, BODY_MOST).collect().await {
+    let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(_) => return told(life, 400, "", false, Bytes::new()).0,
     };
     let attempt = text(&head.headers, "Attempt-Id").unwrap_or("").to_owned();
     let remaining = text(&head.headers, "Remaining-Time").and_then(|value| value.parse().ok());
     let target = text(&head.headers, "Target-Instance").map(str::to_owned);
-    let seen = Seen {
+    let seen = ReceivedRequest {
         instance: life.plan.id.clone(),
         service: life.plan.service.clone(),
         version: life.plan.version.clone(),
@@ -348,7 +348,7 @@
         attempt: attempt.clone(),
         remaining,
         target: target.clone(),
-        body: Print::of(&body),
+        body: BodyDigest::of(&body),
         ran: false,
         answered: None,
     };
@@ -373,7 +373,7 @@
 async fn run(life: &Arc<Life>, until: Instant, number: u64, begun: impl FnOnce()) -> (u16, bool) {
     let slot = match life.slots.try_acquire() {
         Ok(slot) => slot,
-        Err(_) if life.waiting.load(Ordering::Relaxed) >= life.plan.queue => return (503, false),
+        Err(_) if life.waiting.load(Ordering::Relaxed) >= life.plan.queue_limit => return (503, false),
         Err(_) => {
             let _waits = Counted::new(life.clone(), |life| &life.waiting);
             match tokio::time::timeout_at(until.into(), life.slots.acquire()).await {
@@ -384,12 +384,12 @@
     };
     begun();
     let cold = life.started.elapsed() < life.plan.warmup;
-    let work = if cold { life.plan.work * COLD } else { life.plan.work };
+    let work = if cold { life.plan.service_time * WARMUP_SLOWDOWN } else { life.plan.service_time };
     let done = tokio::time::timeout_at(until.into(), tokio::time::sleep(work)).await.is_ok();
     drop(slot);
     // Failures are spread evenly, so that every run of the demonstration has the same share of them.
-    let fails = (number as f64 * life.plan.fails).fract() + life.plan.fails > 1.0 - 1e-9;
-    match (done, fails && life.plan.fails > 0.0) {
+    let fails = (number as f64 * life.plan.failure_ratio).fract() + life.plan.failure_ratio > 1.0 - 1e-9;
+    match (done, fails && life.plan.failure_ratio > 0.0) {
         (false, _) => (504, true),
         (true, true) => (500, true),
         (true, false) => (200, true),
@@ -408,7 +408,7 @@
 async fn beats(life: Arc<Life>) {
     loop {
         let taken = life.beat().await;
-        let pause = if taken { life.plan.beat } else { life.plan.beat / 5 };
+        let pause = if taken { life.plan.heartbeat_interval } else { life.plan.heartbeat_interval / 5 };
         tokio::time::sleep(pause).await;
     }
 }
@@ -433,7 +433,7 @@
             },
         });
         let path = format!("/api/Instances.Heartbeat/{}", plan.id);
-        let ask = Ask::new(Method::POST, &path).json(body.encode());
+        let ask = HttpRequest::new(Method::POST, &path).json(body.encode());
         let Some(answer) = self.tell(&ask).await else { return false };
         self.acknowledged.fetch_add(1, Ordering::Relaxed);
         let mut bytes = answer.body.to_vec();
@@ -446,7 +446,7 @@
     }
 
     /// Sends a call to the target, then to each prompter in turn, until one acknowledges it.
-    async fn tell(&self, ask: &Ask) -> Option<Answer> {
+    async fn tell(&self, ask: &HttpRequest) -> Option<HttpResponse> {
         let told = *lock(&self.target);
         if let Some(at) = told {
             match acknowledged(at, ask).await {
@@ -466,7 +466,8 @@
 }
 
 /// One call, which may be sent on twice; `None` where the answer is no acknowledgement.
-async fn acknowledged(at: SocketAddrV4, ask: &Ask) -> Result<Option<Answer>, Failed> {
-    let answer = super::operator::follow(at, ask, BEAT_WAIT).await?;
-    Ok(Some(answer).filter(|answer| answer.status.is_success() && answer.body.len() <= BEAT_ANSWER_MOST))
+async fn acknowledged(at: SocketAddrV4, ask: &HttpRequest) -> Result<Option<HttpResponse>, CallError> {
+    let answer = super::operator::call_following_redirects(at, ask, HEARTBEAT_TIMEOUT).await?;
+    Ok(Some(answer)
+        .filter(|answer| answer.status.is_success() && answer.body.len() <= MAX_HEARTBEAT_RESPONSE_BYTES))
 }
--- a/crates/playhouse/src/demo/mod.rs
+++ b/crates/playhouse/src/demo/mod.rs
@@ -3,10 +3,10 @@
 //! changed, a good version is rolled out, the leader is killed, a bad version is turned back; a row a second.
 
 pub mod client;
+pub mod cluster;
+pub mod fault_injection;
 pub mod instance;
 pub mod operator;
-pub mod stage;
-pub mod unrest;
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -16,12 +16,12 @@
 use std::pin::pin;
 use std::time::{Duration, Instant};
 
-use client::{Counts, Crowd, Kind, Platform};
+use client::{Counts, LoadBalancer, LoadGenerator, Workload};
+use cluster::{NodeIndex, TestCluster};
 use hyper::{Method, StatusCode};
-use instance::{Instance, Plan, Record};
+use instance::{Instance, InstanceConfig, RequestLog};
 use membership::Role;
-use operator::{Operator, Route, change, items, whole};
-use stage::{NodeNo, Stage};
+use operator::{Operator, Route, configuration_change, full_configuration, parse_items};
 
 use crate::signals::Signals;
 
@@ -46,13 +46,13 @@
 
 /// What the demonstration is told.
 #[derive(Clone, Debug, clap::Args)]
-pub struct Line {
+pub struct DemoArgs {
     /// Prompters (control plane), 1 to 9.
-    #[arg(long, default_value_t = 3)]
-    pub prompters: usize,
+    #[arg(long = "prompters", value_name = "PROMPTERS", default_value_t = 3)]
+    pub control_nodes: usize,
     /// Foyers (data plane), 1 to 9.
-    #[arg(long, default_value_t = 2)]
-    pub foyers: usize,
+    #[arg(long = "foyers", value_name = "FOYERS", default_value_t = 2)]
+    pub gateways: usize,
     /// Seconds of traffic; roll-outs under way at the end are waited for.
     #[arg(long, default_value_t = 10)]
     pub seconds: u64,
@@ -62,7 +62,7 @@
 }
 
 /// Runs the demonstration until it is over or the process is told to end; an error if it did not go as it should.
-pub async fn run(line: Line) -> Result<(), Error> {
+pub async fn run(line: DemoArgs) -> Result<(), Error> {
     let mut signals = Signals::start()?;
     let mut out = std::io::stdout();
     let mut show = pin!(perform(line, &mut out));
@@ -74,21 +74,21 @@
 }
 
 /// Plays the whole show and writes what happens.
-pub async fn perform(line: Line, to: &mut impl Write) -> Result<(), Error> {
-    let plan = stage::Plan {
+pub async fn perform(line: DemoArgs, to: &mut impl Write) -> Result<(), Error> {
+    let plan = cluster::ClusterConfig {
         program: std::env::current_exe()?,
-        prompters: line.prompters,
-        foyers: line.foyers,
+        control_nodes: line.control_nodes,
+        gateways: line.gateways,
         folder: line.folder.clone(),
         log: "info".to_owned(),
     };
-    let mut stage = Stage::set(plan)?;
+    let mut stage = TestCluster::create(plan)?;
     writeln!(
         to,
         "{} prompters and {} foyers on loopback; their files are in {}.\n\
          Instances, clients and the operator are played by this process.\n",
-        line.prompters,
-        line.foyers,
+        line.control_nodes,
+        line.gateways,
         stage.folder().display()
     )?;
     let done = Show::open(&mut stage, to).await;
@@ -103,7 +103,7 @@
 }
 
 /// Asks again and again until there is an answer, for `LONG` at most.
-pub async fn until<T, F: Future<Output = Option<T>>>(
+pub async fn wait_for<T, F: Future<Output = Option<T>>>(
     what: &str, mut ask: impl FnMut() -> F,
 ) -> Result<T, Error> {
     let began = Instant::now();
@@ -119,11 +119,11 @@
 }
 
 struct Show<'a, W: Write> {
-    stage: &'a mut Stage,
+    stage: &'a mut TestCluster,
     to: &'a mut W,
     operator: Operator,
-    platform: std::sync::Arc<Platform>,
-    record: Record,
+    platform: std::sync::Arc<LoadBalancer>,
+    record: RequestLog,
     cast: Vec<Instance>,
     version: u32,
     routes: Vec<Route>,
@@ -135,11 +135,11 @@
 
 impl<'a, W: Write> Show<'a, W> {
     /// Starts nodes and instances, and has the first configuration taken.
-    async fn open(stage: &'a mut Stage, to: &'a mut W) -> Result<Self, Error> {
+    async fn open(stage: &'a mut TestCluster, to: &'a mut W) -> Result<Self, Error> {
         stage.start_all()?;
-        let operator = Operator::new(stage.controls());
-        let leader = until("a leader", || operator.leader()).await?;
-        let name = stage.at(*leader.ip()).map(|node| stage.name(node).to_owned()).unwrap_or_default();
+        let operator = Operator::new(stage.control_addresses());
+        let leader = wait_for("a leader", || operator.leader()).await?;
+        let name = stage.node_at(*leader.ip()).map(|node| stage.name(node).to_owned()).unwrap_or_default();
         writeln!(to, "{name} was elected to lead.")?;
         let foyers = stage.nodes(Role::Gateway);
         let doors = foyers.iter().map(|foyer| (stage.frontend(*foyer), stage.readiness(*foyer))).collect();
@@ -151,8 +151,8 @@
             stage,
             to,
             operator,
-            platform: Platform::new(doors),
-            record: Record::default(),
+            platform: LoadBalancer::new(doors),
+            record: RequestLog::default(),
             cast: Vec::new(),
             version: 1,
             routes,
@@ -161,14 +161,14 @@
             all: Counts::default(),
             last_state: [String::new(), String::new()],
         };
-        let text = whole(show.version, &show.routes, &SERVICES);
+        let text = full_configuration(show.version, &show.routes, &SERVICES);
         let answer = show.operator.replace(0, 0, &text).await?;
         expect(answer.status, "the first configuration")?;
         for service in SERVICES {
             show.enter(service, "v1", 0.0).await?;
         }
         let (platform, all) = (show.platform.clone(), foyers.len());
-        until("foyers that call themselves ready", || async {
+        wait_for("foyers that call themselves ready", || async {
             platform.probe().await;
             (platform.ready() == all).then_some(())
         })
@@ -181,33 +181,33 @@
     async fn enter(&mut self, service: &str, version: &str, fails: f64) -> Result<(), Error> {
         for number in 0..INSTANCES {
             let address = self.stage.instance_address().ok_or("no address is left for an instance")?;
-            let mut plan = Plan::new(&format!("i-{service}-{version}-{number}"), service, version);
-            plan.fails = fails;
-            plan.zone = stage::ZONES[number % stage::ZONES.len()].to_owned();
+            let mut plan = InstanceConfig::new(&format!("i-{service}-{version}-{number}"), service, version);
+            plan.failure_ratio = fails;
+            plan.zone = cluster::ZONES[number % cluster::ZONES.len()].to_owned();
             let address = SocketAddrV4::new(address, 8080);
-            let prompters = self.stage.controls();
+            let prompters = self.stage.control_addresses();
             self.cast.push(Instance::start(plan, address, prompters, self.record.clone()).await?);
         }
         let new = |one: &&Instance| one.plan().service == service && one.plan().version == version;
         let cast = &self.cast;
-        until("instances whose beats are taken", || async {
+        wait_for("instances whose beats are taken", || async {
             cast.iter().filter(new).all(|one| one.acknowledged() > 0).then_some(())
         })
         .await
     }
 
-    async fn play(mut self, line: &Line) -> Result<(), Error> {
+    async fn play(mut self, line: &DemoArgs) -> Result<(), Error> {
         let kinds = [(Method::GET, "/view/", true, 0), (Method::POST, "/book/", false, 400)];
-        let kinds = kinds.into_iter().zip(RATES).map(|((method, path, safe, bytes), rate)| Kind {
+        let kinds = kinds.into_iter().zip(RATES).map(|((method, path, safe, bytes), rate)| Workload {
             host: HOST.to_owned(),
             path: path.to_owned(),
             method,
             safe,
-            wait: Duration::from_secs(2),
-            bytes,
-            rate,
+            timeout: Duration::from_secs(2),
+            body_bytes: bytes,
+            requests_per_second: rate,
         });
-        let crowd = Crowd::start(self.platform.clone(), kinds.collect());
+        let crowd = LoadGenerator::start(self.platform.clone(), kinds.collect());
         self.began = Instant::now();
         let all = Duration::from_secs(line.seconds.max(4));
         writeln!(
@@ -239,7 +239,7 @@
     }
 
     /// Writes a row for each second up to a time since the traffic's start.
-    async fn rows_until(&mut self, crowd: &Crowd, at: Duration, what: &str) -> Result<(), Error> {
+    async fn rows_until(&mut self, crowd: &LoadGenerator, at: Duration, what: &str) -> Result<(), Error> {
         let mut what = what;
         while self.began.elapsed() < at {
             let due = Duration::from_secs(u64::from(self.rows) + 1);
@@ -255,10 +255,10 @@
     }
 
     async fn row(&mut self, counts: Counts, what: &str) -> Result<(), Error> {
-        let impatient = Operator { patience: Duration::from_millis(300), ..self.operator.clone() };
-        let leader = impatient.leader().await.and_then(|at| self.stage.at(*at.ip()));
+        let impatient = Operator { timeout: Duration::from_millis(300), ..self.operator.clone() };
+        let leader = impatient.leader().await.and_then(|at| self.stage.node_at(*at.ip()));
         let leader = leader.map_or("nobody", |node| self.stage.name(node)).to_owned();
-        let read = impatient.retrieve(0).await.ok().and_then(|answer| items(&answer.body));
+        let read = impatient.retrieve(0).await.ok().and_then(|answer| parse_items(&answer.body));
         let version = read.map_or("?".to_owned(), |read| read.version);
         for (number, service) in SERVICES.into_iter().enumerate() {
             if let Some((state, target)) = impatient.rollout(service).await {
@@ -276,7 +276,7 @@
             "{:4}  {:6}  {:4}  {:6}  {:>6}  {:>6}  {leader:10}  {version:8}  {:12}  {:12}  {what}",
             self.rows,
             counts.served,
-            counts.turned_back,
+            counts.rejected,
             counts.failed,
             ms(0.5),
             ms(0.99),
@@ -285,10 +285,10 @@
         )?;
         self.to.flush()?;
         self.all.served += counts.served;
-        self.all.turned_back += counts.turned_back;
+        self.all.rejected += counts.rejected;
         self.all.failed += counts.failed;
-        for (fault, count) in counts.faults {
-            *self.all.faults.entry(fault).or_default() += count;
+        for (fault, count) in counts.failures {
+            *self.all.failures.entry(fault).or_default() += count;
         }
         Ok(())
     }
@@ -319,7 +319,7 @@
 
     async fn modify(&mut self) -> Result<(), Error> {
         let route = Route::new("help", HOST, "/view/help/", "safe", SERVICES[1]);
-        let text = change(self.version + 2, std::slice::from_ref(&route), &[]);
+        let text = configuration_change(self.version + 2, std::slice::from_ref(&route), &[]);
         let answer = self.operator.modify(0, self.version, &text).await?;
         expect(answer.status, "the change")?;
         self.version += 2;
@@ -334,10 +334,10 @@
         self.enter(SERVICES[number], version, fails).await
     }
 
-    async fn kill_leader(&mut self) -> Result<NodeNo, Error> {
+    async fn kill_leader(&mut self) -> Result<NodeIndex, Error> {
         let operator = self.operator.clone();
-        let leader = until("a leader", || operator.leader()).await?;
-        let node = self.stage.at(*leader.ip()).ok_or("the leader is no node of this stage")?;
+        let leader = wait_for("a leader", || operator.leader()).await?;
+        let node = self.stage.node_at(*leader.ip()).ok_or("the leader is no node of this stage")?;
         self.stage.kill(node)?;
         if self.stage.nodes(Role::ControlNode).len() < 3 {
             // The others are no majority without it.
@@ -349,10 +349,11 @@
     /// What came of it, for a person and for the exit code.
     async fn judge(self) -> Result<(), Error> {
         let answer = self.operator.retrieve(0).await?;
-        let held = items(&answer.body) == items(whole(self.version, &self.routes, &SERVICES).as_bytes());
+        let held = parse_items(&answer.body)
+            == parse_items(full_configuration(self.version, &self.routes, &SERVICES).as_bytes());
         let good = self.last_state[0] == "completed v2";
         let bad = self.last_state[1] == "reverted v2";
-        let all = self.all.all().max(1);
+        let all = self.all.total().max(1);
         let mut text = String::new();
         let said = |yes: bool| if yes { "yes" } else { "NO" };
         writeln!(text, "\nthe configuration read back is the one acknowledged: {}", said(held))?;
@@ -361,9 +362,9 @@
         writeln!(
             text,
             "{all} requests: {} served, {} turned back, {} failed",
-            self.all.served, self.all.turned_back, self.all.failed
+            self.all.served, self.all.rejected, self.all.failed
         )?;
-        let faults: BTreeMap<_, _> = self.all.faults.iter().collect();
+        let faults: BTreeMap<_, _> = self.all.failures.iter().collect();
         for (fault, count) in faults.into_iter().take(8) {
             writeln!(text, "  {count} x {fault}")?;
         }
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -19,7 +19,7 @@
 use types::{Carrier, MS, Micros, NodeAddress, SECOND};
 
 use crate::house::{Happened, House, Letter, Word};
-use crate::settings::{Settings, micros};
+use crate::settings::{Settings, seconds_to_micros};
 use budgets::{GatewayCounts, RetryBudget};
 use control_state::CommandOutcome;
 use desk::{Desk, Do, Seen};
@@ -150,12 +150,12 @@
 
 impl Floor {
     pub fn start(mut house: House, settings: Rc<Settings>, seed: u64, now: Micros) -> Floor {
-        house.cast.set_drain_limit(micros(settings.timer_bounds.drain_s));
+        house.cast.set_drain_limit(seconds_to_micros(settings.timer_bounds.drain_s));
         let bounds = &settings.timer_bounds;
         let bounds = BudgetLimits {
             retry_ratio: bounds.retry_budget_ratio,
             retry_slack: bounds.retry_budget_slack,
-            retry_window: micros(bounds.retry_window_s),
+            retry_window: seconds_to_micros(bounds.retry_window_s),
             exposure_slack: bounds.exposure_slack,
         };
         let zones: Vec<String> = settings.zones.keys().cloned().collect();
@@ -256,7 +256,7 @@
     /// and restarts are not driven yet, so that nobody who was accused could show that it is well.
     pub fn check_intent(&mut self, now: Micros) {
         let own = &self.house.own;
-        let tuning = intent::Tuning::of_apply(micros(self.settings.timer_bounds.config_apply_s));
+        let tuning = intent::Tuning::of_apply(seconds_to_micros(self.settings.timer_bounds.config_apply_s));
         self.usher = Some(Usher::start(own.address, own.run_id, tuning, self.seed ^ 5, now));
         self.tell_usher(now);
     }
--- a/crates/playhouse/src/foyer/mod.rs
+++ b/crates/playhouse/src/foyer/mod.rs
@@ -32,7 +32,7 @@
 use crate::house::{Clock, House, chance};
 use crate::metrics::{self, Measured, Metrics};
 use crate::post::send;
-use crate::settings::{Settings, micros};
+use crate::settings::{Settings, seconds_to_micros};
 use crate::signals::{Signals, Told as Signal};
 use cloakroom::Cloakroom;
 use crowd::Crowd;
@@ -95,7 +95,13 @@
     )?;
     let now = clock.now();
     let member = settings.member(Role::Gateway, RunId(chance()));
-    let house = House::start(member, settings.seeds(), micros(settings.heartbeat_s), chance(), now);
+    let house = House::start(
+        member,
+        settings.seed_addresses(),
+        seconds_to_micros(settings.heartbeat_s),
+        chance(),
+        now,
+    );
     let changed = Rc::new(tokio::sync::Notify::new());
     let foyer = Foyer {
         floor: Floor::start(house, settings.clone(), chance(), now),
@@ -123,7 +129,7 @@
         shared.clone(),
     ));
     let mut signals = Signals::start()?;
-    let grace = Duration::from_micros(micros(settings.timer_bounds.grace_s) as u64);
+    let grace = Duration::from_micros(seconds_to_micros(settings.timer_bounds.grace_s) as u64);
     let mut ends: Option<tokio::time::Instant> = None;
     loop {
         let due = clock.at(shared.borrow().due());
@@ -158,7 +164,7 @@
                 Signal::End => {}
                 Signal::Reload => match Settings::path().and_then(|path| Settings::read(&path)) {
                     Ok(settings) => {
-                        shared.borrow_mut().step(&shared, In::Seeds { places: settings.seeds() });
+                        shared.borrow_mut().step(&shared, In::Seeds { places: settings.seed_addresses() });
                     }
                     Err(error) => log::warn!("settings stay as they were: {error}"),
                 },
--- a/crates/playhouse/src/lib.rs
+++ b/crates/playhouse/src/lib.rs
@@ -1,5 +1,6 @@
-//! Playhouse (the system's programs): foyers carry the traffic, prompters serve control. Thin drivers over the
-//! rooms; `house`, `control` and `floor` join those without I/O.
+//! The processes of the distributed API gateway: gateways carry traffic, control nodes serve the control API and keep the
+//! replicated state. This package holds the I/O around the other packages, whose logic does no I/O; `house`, `control` and
+//! `floor` combine that logic, also without I/O.
 
 pub mod calls;
 pub mod commands;
--- a/crates/playhouse/src/main.rs
+++ b/crates/playhouse/src/main.rs
@@ -1,5 +1,4 @@
-//! Playhouse (the system's program): foyers carry the traffic, prompters serve control, and operators look
-//! after both.
+//! Program of the distributed API gateway: runs gateways and control nodes, and offers the operators' commands.
 
 use std::process::ExitCode;
 
@@ -7,7 +6,7 @@
 use playhouse::{commands, ring};
 
 fn main() -> ExitCode {
-    let line = commands::Line::parse();
-    ring::install(line.log, line.ring);
-    commands::run(line)
+    let command_line = commands::CommandLine::parse();
+    ring::install(command_line.log, command_line.ring);
+    commands::run(command_line)
 }
--- a/crates/playhouse/src/prompter.rs
+++ b/crates/playhouse/src/prompter.rs
@@ -22,13 +22,13 @@
 use types::{CallId, Micros, NodeAddress, RunId, SECOND, VoterId};
 
 use crate::calls::{self, Call, Wrong};
-use crate::commands::view::{Disk, view};
+use crate::commands::view::{DiskHealth, status_json};
 use crate::control::{Control, In, Out, Told};
 use crate::house::{Clock, House, chance};
 use crate::metrics::{self, Measured, Metrics};
 use crate::post::send;
 use crate::ring;
-use crate::settings::{Settings, micros};
+use crate::settings::{Settings, seconds_to_micros};
 use crate::signals::{Signals, Told as Signal};
 use crate::troubles::{Reverted, Writes};
 
@@ -62,7 +62,7 @@
     /// It was told to end: to lead no more is then as it should be.
     ending: bool,
     writes: Writes,
-    refused: ring::Pace,
+    refused: ring::RateLimiter,
     reverted: Reverted,
 }
 
@@ -76,13 +76,14 @@
     let clock = Clock::start();
     let at = settings.listen_addresses.control.ok_or("ListenAddresses.Control is missing")?;
     let dir = settings.data_directory.clone().ok_or("DataDirectory is missing")?;
-    let own = settings.place();
-    let first = settings.initial_start && settings.seeds().contains(&own);
+    let own = settings.node_address();
+    let first = settings.initial_start && settings.seed_addresses().contains(&own);
     let (ledger, opened) = open(&dir, first)?;
     let (disk, mut done) = DiskWriter::start(ledger)?;
     let (memory, remembered) = LatestValueFile::start(&dir, MEMORY)?;
     let seat = VoterId { address: own, disk_id: opened.disk_id };
-    let voters = || settings.seeds().into_iter().map(|place| VoterId { address: place, disk_id: FIRST_LIFE });
+    let voters =
+        || settings.seed_addresses().into_iter().map(|place| VoterId { address: place, disk_id: FIRST_LIFE });
     // A disk with nothing kept yet has promised nothing, also where the process was killed since it was
     // begun.
     let unused = opened.disk_id == FIRST_LIFE && opened.state == PersistentState::default();
@@ -96,11 +97,18 @@
     // Among the nodes it is the process that lives: one that has left in order is never heard again, and this
     // one may come back with the same disk.
     let member = settings.member(Role::ControlNode, RunId(chance()));
-    let mut house = House::start(member, settings.seeds(), micros(settings.heartbeat_s), chance(), now);
+    let mut house = House::start(
+        member,
+        settings.seed_addresses(),
+        seconds_to_micros(settings.heartbeat_s),
+        chance(),
+        now,
+    );
     if let Some(bytes) = remembered {
         house.remember(now, &bytes);
     }
-    let (control, out) = Control::start(house, seat, first, opened.state, &settings.spans(), chance(), now);
+    let (control, out) =
+        Control::start(house, seat, first, opened.state, &settings.derived_timings(), chance(), now);
     let changed = Rc::new(tokio::sync::Notify::new());
     let mut prompter = Prompter {
         control,
@@ -115,7 +123,7 @@
         led: false,
         ending: false,
         writes: Writes::default(),
-        refused: ring::Pace::of(REFUSED_EVERY),
+        refused: ring::RateLimiter::new(REFUSED_EVERY),
         reverted: Reverted::default(),
     };
     prompter.carry(out);
@@ -170,7 +178,7 @@
                     prompter.step(In::Leave);
                 }
                 Signal::Reload => match Settings::path().and_then(|path| Settings::read(&path)) {
-                    Ok(settings) => shared.borrow_mut().step(In::Seeds { places: settings.seeds() }),
+                    Ok(settings) => shared.borrow_mut().step(In::Seeds { places: settings.seed_addresses() }),
                     Err(error) => log::warn!("settings stay as they were: {error}"),
                 },
             },
@@ -273,16 +281,16 @@
 
     /// A beat or a leave was answered 503: told of at a pace, with how many more there were.
     fn refused(&mut self, id: &str, why: &str) {
-        if let Some(more) = self.refused.may(self.clock.now()) {
+        if let Some(more) = self.refused.try_acquire(self.clock.now()) {
             let id = &id[..id.floor_char_boundary(64)];
             log::warn!("a beat of {id} was refused: {why}; {more} more since the last such line");
             ring::spill("a beat was refused");
         }
     }
 
-    fn disk(&self) -> Disk {
+    fn disk(&self) -> DiskHealth {
         let (waits, fails) = self.writes.stand(self.clock.now());
-        Disk { waits, fails }
+        DiskHealth { oldest_write_wait: waits, failing: fails }
     }
 
     /// Begins a call that waits; more than `ASKS_MOST` are not kept.
@@ -378,7 +386,7 @@
         Call::Status => {
             let prompter = shared.borrow();
             let now = prompter.clock.now();
-            reply(StatusCode::OK, view(&prompter.control, prompter.disk(), now).encode())
+            reply(StatusCode::OK, status_json(&prompter.control, prompter.disk(), now).encode())
         }
         Call::Heartbeat(id) => {
             let beat = calls::beat(id, body)?;
--- a/crates/playhouse/src/ring.rs
+++ b/crates/playhouse/src/ring.rs
@@ -1,9 +1,8 @@
-//! Ring (log in memory): keeps the last lines in bounded bytes, so that little is written while all is well
-//! and what led to a trouble can be read once it is there.
-//!
-//! Lines of the own packages at the ring's level go into it; those at the set level are written at once,
-//! through `env_logger`. A line at `error`, a panic and `spill` write the ring to standard error: at most
-//! every 10 s, since writing costs processor time that a small machine in trouble has least of.
+//! Logger with an in-memory ring buffer: keeps the most recent log lines in bounded memory, so that little is written
+//! in normal operation and the lines that led up to a failure are available once it happens.
+//! Lines of this project's packages up to the ring's level go into the buffer; lines up to the direct level are written
+//! at once through `env_logger`. A line at `error`, a panic and a call of [`spill`] write the buffer to standard error,
+//! at most once every 10 s: writing costs processor time, which an overloaded small machine lacks most.
 
 use std::collections::VecDeque;
 use std::fmt::{self, Write as _};
@@ -14,18 +13,21 @@
 use log::{Level, LevelFilter, Log, Metadata, Record};
 use types::{MS, Micros, SECOND};
 
-/// Bytes of lines that are kept, and written out, at most.
-pub const RING_BYTES: usize = 32 << 10;
-/// Bytes of one line at most; what is longer is cut.
-const LINE_BYTES: usize = 400;
-/// No spill within so long of the one before.
-const SPILL_EVERY: Micros = 10 * SECOND;
-/// Lines written at once: so many in a burst, then one in so long. Where a fault repeats with each datagram or
-/// connection, writing all of it would cost more than the fault; the ring keeps the last of them anyway.
-const BURST: u32 = 60;
-const LINE_EVERY: Micros = SECOND;
-/// Packages whose lines are kept; others' say little about what this system did.
-pub const OWN: [&str; 11] = [
+/// Size of the ring buffer in bytes, and so of one output of it.
+pub const RING_CAPACITY_BYTES: usize = 32 << 10;
+/// Longest line in bytes; longer lines are truncated.
+const MAX_LINE_BYTES: usize = 400;
+/// Least time between two outputs of the buffer.
+const MIN_SPILL_INTERVAL: Micros = 10 * SECOND;
+/// Lines that may be written directly in one burst; after that, one per [`DIRECT_LINE_INTERVAL`]. If a failure repeats
+/// with each datagram or connection, writing every line would cost more than the failure itself. The ring buffer keeps
+/// the latest of them anyway.
+const DIRECT_BURST_LINES: u32 = 60;
+/// Time in which one more line may be written directly.
+const DIRECT_LINE_INTERVAL: Micros = SECOND;
+/// Target prefixes of the packages whose lines go into the buffer; lines of other packages say little about what this
+/// system did.
+pub const PROJECT_TARGETS: [&str; 11] = [
     "playhouse",
     "consensus",
     "replication",
@@ -39,29 +41,29 @@
     "garnetdoor",
 ];
 
-static RECORDER: OnceLock<Recorder> = OnceLock::new();
+static LOGGER: OnceLock<RingLogger> = OnceLock::new();
 
-/// The last lines, oldest first, each behind its length.
+/// The most recent lines, oldest first, each preceded by its length (two bytes).
 #[derive(Debug)]
-pub struct Ring {
+pub struct RingBuffer {
     bytes: VecDeque<u8>,
-    most: usize,
+    capacity: usize,
     dropped: u64,
 }
 
-impl Ring {
-    /// Takes its memory at once, so that logging never does.
-    pub fn new(most: usize) -> Ring {
-        Ring { bytes: VecDeque::with_capacity(most), most, dropped: 0 }
+impl RingBuffer {
+    /// Allocates all memory up front, so that logging never allocates.
+    pub fn new(capacity: usize) -> RingBuffer {
+        RingBuffer { bytes: VecDeque::with_capacity(capacity), capacity, dropped: 0 }
     }
 
-    /// Keeps a line; the oldest make room. One that can never fit is dropped.
+    /// Appends a line and evicts the oldest lines if there is no room. A line that can never fit is dropped.
     pub fn push(&mut self, line: &[u8]) {
-        let Some(length) = u16::try_from(line.len()).ok().filter(|_| line.len() + 2 <= self.most) else {
+        let Some(length) = u16::try_from(line.len()).ok().filter(|_| line.len() + 2 <= self.capacity) else {
             self.dropped += 1;
             return;
         };
-        while self.bytes.len() + line.len() + 2 > self.most {
+        while self.bytes.len() + line.len() + 2 > self.capacity {
             let oldest = u16::from_le_bytes([self.bytes[0], self.bytes[1]]);
             self.bytes.drain(..2 + usize::from(oldest));
             self.dropped += 1;
@@ -70,7 +72,7 @@
         self.bytes.extend(line);
     }
 
-    /// Empties the ring: its lines, each with its end, and how many had been dropped for want of room.
+    /// Empties the buffer and returns its lines, each with a line feed, and the number of lines dropped for lack of room.
     pub fn take(&mut self) -> (Vec<u8>, u64) {
         let mut text = Vec::with_capacity(self.bytes.len());
         while let (Some(low), Some(high)) = (self.bytes.pop_front(), self.bytes.pop_front()) {
@@ -82,153 +84,157 @@
     }
 }
 
-/// When something may be written: the ring, or a line that a storm would repeat.
+/// Allows an action at most once per interval.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
-    every: Micros,
+pub struct RateLimiter {
+    interval: Micros,
     last: Option<Micros>,
-    held: u64,
+    suppressed: u64,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace::of(SPILL_EVERY)
+impl Default for RateLimiter {
+    fn default() -> RateLimiter {
+        RateLimiter::new(MIN_SPILL_INTERVAL)
     }
 }
 
-impl Pace {
-    /// Once in so long.
-    pub fn of(every: Micros) -> Pace {
-        Pace { every, last: None, held: 0 }
+impl RateLimiter {
+    /// A limiter that allows one action per `interval`.
+    pub fn new(interval: Micros) -> RateLimiter {
+        RateLimiter { interval, last: None, suppressed: 0 }
     }
 
-    /// Whether it may be now, by the steady clock; and how many times it was held back since the last.
-    pub fn may(&mut self, now: Micros) -> Option<u64> {
-        if self.last.is_some_and(|last| now - last < self.every) {
-            self.held += 1;
+    /// Returns the number of suppressed actions since the last allowed one, or `None` if the action isn't allowed yet.
+    /// `now` is a time of the monotonic clock.
+    pub fn try_acquire(&mut self, now: Micros) -> Option<u64> {
+        if self.last.is_some_and(|last| now - last < self.interval) {
+            self.suppressed += 1;
             return None;
         }
         self.last = Some(now);
-        Some(std::mem::take(&mut self.held))
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
-/// How many lines may be written at once.
+/// Token bucket that limits the lines that are written directly.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
-    most: u32,
-    every: Micros,
-    left: u32,
-    filled: Micros,
-    held: u64,
+pub struct TokenBucket {
+    capacity: u32,
+    interval: Micros,
+    tokens: u32,
+    refilled_at: Micros,
+    suppressed: u64,
 }
 
-impl Allowance {
-    /// `most` in a burst, then one in `every`.
-    pub fn of(most: u32, every: Micros) -> Allowance {
-        Allowance { most, every, left: most, filled: 0, held: 0 }
+impl TokenBucket {
+    /// A full bucket of `capacity` tokens that gains one token per `interval`.
+    pub fn new(capacity: u32, interval: Micros) -> TokenBucket {
+        TokenBucket { capacity, interval, tokens: capacity, refilled_at: 0, suppressed: 0 }
     }
 
-    /// Whether one may be now, by the steady clock; and how many were held back since the last.
-    pub fn may(&mut self, now: Micros) -> Option<u64> {
-        let due = (now - self.filled) / self.every;
-        self.left = u32::try_from(due).map_or(self.most, |due| self.left.saturating_add(due).min(self.most));
-        self.filled += due * self.every;
-        if self.left == 0 {
-            self.held += 1;
+    /// Takes a token and returns the number of suppressed actions since the last allowed one, or `None` if the bucket is
+    /// empty. `now` is a time of the monotonic clock.
+    pub fn try_acquire(&mut self, now: Micros) -> Option<u64> {
+        let new_tokens = (now - self.refilled_at) / self.interval;
+        self.tokens = u32::try_from(new_tokens)
+            .map_or(self.capacity, |new_tokens| self.tokens.saturating_add(new_tokens).min(self.capacity));
+        self.refilled_at += new_tokens * self.interval;
+        if self.tokens == 0 {
+            self.suppressed += 1;
             return None;
         }
-        self.left -= 1;
-        Some(std::mem::take(&mut self.held))
+        self.tokens -= 1;
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
-/// A line in the making, on the stack: what is too long is cut, and nothing is allocated.
+/// Formats a line on the stack without allocating; what exceeds the buffer is truncated.
 struct Line {
-    bytes: [u8; LINE_BYTES],
-    used: usize,
+    bytes: [u8; MAX_LINE_BYTES],
+    length: usize,
 }
 
 impl fmt::Write for Line {
     fn write_str(&mut self, text: &str) -> fmt::Result {
-        let fits = text.floor_char_boundary(LINE_BYTES - self.used);
-        self.bytes[self.used..self.used + fits].copy_from_slice(&text.as_bytes()[..fits]);
-        self.used += fits;
-        // Cut off: nothing that comes after belongs there.
+        let fits = text.floor_char_boundary(MAX_LINE_BYTES - self.length);
+        self.bytes[self.length..self.length + fits].copy_from_slice(&text.as_bytes()[..fits]);
+        self.length += fits;
+        // Truncated: an error stops the formatting of the rest.
         if fits < text.len() { Err(fmt::Error) } else { Ok(()) }
     }
 }
 
-struct Recorder {
-    out: env_logger::Logger,
+struct RingLogger {
+    direct: env_logger::Logger,
     level: LevelFilter,
-    began: Instant,
-    ring: Mutex<Ring>,
-    pace: Mutex<Pace>,
-    /// None where more than warnings are asked for: whoever does so wants them all.
-    allowance: Option<Mutex<Allowance>>,
+    started: Instant,
+    ring: Mutex<RingBuffer>,
+    spill_limit: Mutex<RateLimiter>,
+    /// `None` if the direct level is above `warn`: whoever asks for that wants every line.
+    direct_limit: Option<Mutex<TokenBucket>>,
 }
 
 fn lock<T>(what: &Mutex<T>) -> MutexGuard<'_, T> {
     what.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn own(target: &str) -> bool {
+fn is_project_target(target: &str) -> bool {
     let package = target.split_once("::").map_or(target, |(package, _)| package);
-    OWN.contains(&package)
+    PROJECT_TARGETS.contains(&package)
 }
 
-impl Recorder {
+impl RingLogger {
     fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started.elapsed().as_micros() as Micros
     }
 
-    fn keeps(&self, metadata: &Metadata<'_>) -> bool {
-        metadata.level() <= self.level && own(metadata.target())
+    fn is_kept(&self, metadata: &Metadata<'_>) -> bool {
+        metadata.level() <= self.level && is_project_target(metadata.target())
     }
 
-    fn keep(&self, record: &Record<'_>) {
+    fn store(&self, record: &Record<'_>) {
         let now = self.now();
-        let mut line = Line { bytes: [0; LINE_BYTES], used: 0 };
+        let mut line = Line { bytes: [0; MAX_LINE_BYTES], length: 0 };
         let (seconds, millis) = (now / SECOND, now % SECOND / MS);
-        // An error means that it was cut off.
+        // An error means that the line was truncated.
         let _ =
             write!(line, "{seconds}.{millis:03} {} {}: {}", record.level(), record.target(), record.args());
-        lock(&self.ring).push(&line.bytes[..line.used]);
+        lock(&self.ring).push(&line.bytes[..line.length]);
     }
 
     fn write(&self, record: &Record<'_>) {
-        if let Some(allowance) = self.allowance.as_ref().filter(|_| self.out.matches(record)) {
-            let Some(held) = lock(allowance).may(self.now()) else { return };
-            if held > 0 {
+        if let Some(direct_limit) = self.direct_limit.as_ref().filter(|_| self.direct.matches(record)) {
+            let Some(suppressed) = lock(direct_limit).try_acquire(self.now()) else { return };
+            if suppressed > 0 {
                 let mut line = Record::builder();
                 line.level(Level::Warn).target(module_path!());
-                self.out.log(&line.args(format_args!("{held} lines were left out here")).build());
+                self.direct.log(&line.args(format_args!("{suppressed} lines were left out here")).build());
             }
         }
-        self.out.log(record);
+        self.direct.log(record);
     }
 
     fn spill(&self, reason: &str) {
-        let Some(held) = lock(&self.pace).may(self.now()) else { return };
+        let Some(suppressed) = lock(&self.spill_limit).try_acquire(self.now()) else { return };
         let (text, dropped) = lock(&self.ring).take();
-        let mut whole = format!("--- ring: {reason} (older lines dropped: {dropped}; held back: {held})\n");
-        whole.push_str(&String::from_utf8_lossy(&text));
-        whole.push_str("--- end of ring\n");
-        // Nobody can be told that standard error is gone.
-        let _ = std::io::stderr().lock().write_all(whole.as_bytes());
+        let mut output =
+            format!("--- ring: {reason} (older lines dropped: {dropped}; held back: {suppressed})\n");
+        output.push_str(&String::from_utf8_lossy(&text));
+        output.push_str("--- end of ring\n");
+        // A failure to write to standard error can't be reported anywhere.
+        let _ = std::io::stderr().lock().write_all(output.as_bytes());
     }
 }
 
-impl Log for Recorder {
+impl Log for RingLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
-        self.keeps(metadata) || self.out.enabled(metadata)
+        self.is_kept(metadata) || self.direct.enabled(metadata)
     }
 
     fn log(&self, record: &Record<'_>) {
-        let kept = self.keeps(record.metadata());
+        let kept = self.is_kept(record.metadata());
         if kept {
-            self.keep(record);
+            self.store(record);
         }
         self.write(record);
         if kept && record.level() == Level::Error {
@@ -237,40 +243,45 @@
     }
 
     fn flush(&self) {
-        self.out.flush();
+        self.direct.flush();
     }
 }
 
-/// Makes this the process's logger: lines at `written` (or as `RUST_LOG` says) go out at once, those of the
-/// own packages at `kept` go into the ring. A panic writes the ring out. Done once; later calls change
-/// nothing.
-pub fn install(written: LevelFilter, kept: LevelFilter) {
-    let out = env_logger::Builder::new().filter_level(written).parse_default_env().build();
-    let most = out.filter().max(kept);
-    let few = out.filter() <= LevelFilter::Warn;
-    let allowance = few.then(|| Mutex::new(Allowance::of(BURST, LINE_EVERY)));
-    let recorder = RECORDER.get_or_init(|| Recorder {
-        out,
-        level: kept,
-        began: Instant::now(),
-        ring: Mutex::new(Ring::new(if kept == LevelFilter::Off { 0 } else { RING_BYTES })),
-        pace: Mutex::new(Pace::default()),
-        allowance,
+/// Installs the logger of the process. Lines up to `direct_level` (or as `RUST_LOG` says) are written at once; lines of
+/// this project's packages up to `ring_level` go into the ring buffer. A panic writes the buffer out. Later calls have no
+/// effect.
+pub fn install(direct_level: LevelFilter, ring_level: LevelFilter) {
+    let direct = env_logger::Builder::new().filter_level(direct_level).parse_default_env().build();
+    let max_level = direct.filter().max(ring_level);
+    let limited = direct.filter() <= LevelFilter::Warn;
+    let direct_limit =
+        limited.then(|| Mutex::new(TokenBucket::new(DIRECT_BURST_LINES, DIRECT_LINE_INTERVAL)));
+    let logger = LOGGER.get_or_init(|| RingLogger {
+        direct,
+        level: ring_level,
+        started: Instant::now(),
+        ring: Mutex::new(RingBuffer::new(if ring_level == LevelFilter::Off {
+            0
+        } else {
+            RING_CAPACITY_BYTES
+        })),
+        spill_limit: Mutex::new(RateLimiter::default()),
+        direct_limit,
     });
-    if log::set_logger(recorder).is_err() {
+    if log::set_logger(logger).is_err() {
         return;
     }
-    log::set_max_level(most);
-    let before = std::panic::take_hook();
+    log::set_max_level(max_level);
+    let previous_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
-        before(panic);
+        previous_hook(panic);
         spill("a panic");
     }));
 }
 
-/// Writes the ring to standard error and empties it, unless that was done in the last 10 s.
+/// Writes the buffer to standard error and empties it, unless that was done in the last 10 s.
 pub fn spill(reason: &str) {
-    if let Some(recorder) = RECORDER.get() {
-        recorder.spill(reason);
+    if let Some(logger) = LOGGER.get() {
+        logger.spill(reason);
     }
 }
--- a/crates/playhouse/src/settings.rs
+++ b/crates/playhouse/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file (TOML) that each process of the system is told by its machine, read and checked.
+//! Reads and validates the settings file (TOML) of a process, and derives the timings that follow from it.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -6,28 +6,28 @@
 use membership::{Member, Role};
 use types::{MS, Micros, NodeAddress, NodeVersion, RunId, SECOND};
 
-/// Where the settings file's path stands.
-pub const VARIABLE: &str = "GARNETDOOR_SETTINGS";
+/// Environment variable that holds the path of the settings file.
+pub const SETTINGS_PATH_VARIABLE: &str = "GARNETDOOR_SETTINGS";
 
-/// Why settings can't be used; each fault names its place.
+/// Why a settings file can't be used. Each fault names the key that it is about.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    #[error("the variable {VARIABLE} names no settings file")]
-    Unnamed,
+    #[error("the variable {SETTINGS_PATH_VARIABLE} names no settings file")]
+    PathNotSet,
     #[error("{path}: {error}")]
     Unreadable { path: PathBuf, error: std::io::Error },
     #[error("{path}: {error}")]
-    Wrong { path: PathBuf, error: Box<toml::de::Error> },
-    #[error("{path}: {}", listed(.faults))]
+    InvalidToml { path: PathBuf, error: Box<toml::de::Error> },
+    #[error("{path}: {}", joined(.faults))]
     Faults { path: PathBuf, faults: Vec<Fault> },
 }
 
-/// One thing that is wrong with a settings file.
+/// One invalid or missing key of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The key, with its table: `TimerBounds.GraceS`.
+    /// The key with its table, for example `TimerBounds.GraceS`.
     pub key: String,
-    /// What stands there; `nothing` where the key is missing.
+    /// The value in the file; `nothing` if the key is missing.
     pub found: String,
     pub expected: String,
 }
@@ -38,11 +38,11 @@
     }
 }
 
-fn listed(faults: &[Fault]) -> String {
+fn joined(faults: &[Fault]) -> String {
     faults.iter().map(Fault::to_string).collect::<Vec<_>>().join("\n  ")
 }
 
-/// What the file holds; unknown fields are ignored, since later ones may come.
+/// The validated settings. Unknown keys are ignored, because later versions may add keys.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub node_name: String,
@@ -53,22 +53,25 @@
     pub seed_nodes: Vec<SocketAddrV4>,
     pub initial_start: bool,
     pub data_directory: Option<PathBuf>,
-    /// Seconds between an instance's beats.
+    /// Seconds between heartbeats of an instance.
     pub heartbeat_s: f64,
+    /// Name of each zone with the name of its region.
     pub zones: std::collections::BTreeMap<String, String>,
-    pub listen_addresses: Listen,
+    pub listen_addresses: ListenAddresses,
     pub limit_set: MachineLimits,
     pub fault_tolerance: FaultTolerance,
-    pub timer_bounds: Bounds,
+    pub timer_bounds: TimerBounds,
 }
 
+/// Addresses that the process listens on; which of them are set depends on its role.
 #[derive(Clone, Debug, Default)]
-pub struct Listen {
+pub struct ListenAddresses {
     pub frontend: Option<SocketAddrV4>,
     pub readiness: Option<SocketAddrV4>,
     pub control: Option<SocketAddrV4>,
 }
 
+/// Resources of the machine that the process may use.
 #[derive(Clone, Debug)]
 pub struct MachineLimits {
     pub cpu_share: f64,
@@ -90,7 +93,7 @@
     }
 }
 
-/// What may be lost at once with all rules kept.
+/// Numbers of machines, zones and regions whose simultaneous loss the deployment must tolerate.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultTolerance {
     pub machine_losses: usize,
@@ -104,9 +107,9 @@
     }
 }
 
-/// The rules' figures that processes act by; seconds and shares.
+/// Time limits (in seconds) and ratios that the deployment promises and the processes act by.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub struct TimerBounds {
     pub contact_s: f64,
     pub ack_s: f64,
     pub catch_up_s: f64,
@@ -121,9 +124,9 @@
     pub rollback_s: f64,
 }
 
-impl Default for Bounds {
+impl Default for TimerBounds {
     fn default() -> Self {
-        Bounds {
+        TimerBounds {
             contact_s: 3.0,
             ack_s: 5.0,
             catch_up_s: 4.0,
@@ -140,105 +143,113 @@
     }
 }
 
-/// What rooms do that follows from the deployment's bounds, in microseconds: reckoned once, at the start, and handed to them.
-/// No room reads settings. `docs/control.md`, section 3, tells why each is as it is.
+/// Timings that follow from the deployment's bounds, in microseconds. They are computed once at start and passed to the
+/// packages that need them, so that none of those reads settings. `docs/control.md`, section 3, gives the reasons.
 #[derive(Clone, Debug)]
-pub struct Spans {
-    /// Of the ordered log.
-    pub book: consensus::Timing,
-    /// Of the votes on trials.
-    pub count: control_state::VerdictSettings,
-    /// `DrainS`.
-    pub drain: Micros,
-    /// `AckS`.
-    pub ack: Micros,
-    /// What a control machine that is told to end has for handing over.
-    pub hand_over: Micros,
+pub struct DerivedTimings {
+    /// Timing of the Raft log.
+    pub consensus: consensus::Timing,
+    /// Settings of the verdict on trial versions.
+    pub verdicts: control_state::VerdictSettings,
+    /// Time that a draining instance has (`DrainS`).
+    pub drain_limit: Micros,
+    /// Time within which a change must be acknowledged (`AckS`).
+    pub ack_timeout: Micros,
+    /// Time that a control node has to transfer leadership when it is asked to stop.
+    pub leadership_transfer_timeout: Micros,
 }
 
-/// A span within two bounds.
-fn within(span: Micros, least: Micros, most: Micros) -> Micros {
-    span.clamp(least, most)
+fn clamp(duration: Micros, min: Micros, max: Micros) -> Micros {
+    duration.clamp(min, max)
 }
 
-impl Spans {
-    /// `zones` and `regions` are those that the deployment has.
-    pub fn of_bounds(bounds: &Bounds, losses: FaultTolerance, zones: usize, regions: usize) -> Spans {
-        let (contact, catch_up) = (micros(bounds.contact_s), micros(bounds.catch_up_s));
-        // A core is settled `ContactS` after a leader's death, so an election, two spans at the most, is over by half
-        // of it. Under the lower bound a slow machine's beats would come too late.
-        let election = within(contact * 7 / 30, 450 * MS, 700 * MS);
-        let share = |(lost, all): (usize, usize)| lost.min(all) * 1000 / all.max(1);
-        let parts = [(losses.zones, zones), (losses.region_losses, regions)];
-        let book = consensus::Timing {
+impl DerivedTimings {
+    /// Derives the timings; `zones` and `regions` are the numbers of zones and regions of the deployment.
+    pub fn from_bounds(
+        bounds: &TimerBounds, tolerance: FaultTolerance, zones: usize, regions: usize,
+    ) -> DerivedTimings {
+        let (contact, catch_up) = (seconds_to_micros(bounds.contact_s), seconds_to_micros(bounds.catch_up_s));
+        // The control plane must have a leader `ContactS` after the loss of the old one, so an election, which takes at
+        // most two timeouts, ends within half of that. Below the lower bound, heartbeats of a slow machine would
+        // arrive too late.
+        let election = clamp(contact * 7 / 30, 450 * MS, 700 * MS);
+        let per_mille = |(tolerated, total): (usize, usize)| tolerated.min(total) * 1000 / total.max(1);
+        let domains = [(tolerance.zones, zones), (tolerance.region_losses, regions)];
+        let consensus = consensus::Timing {
             heartbeat_interval: election * 3 / 14,
             election_timeout: election,
-            // A machine that is back has `CatchUpS` to be let in again; one that is not back for twice that is taken for gone.
-            removal_timeout: within(2 * catch_up, 4 * SECOND, 30 * SECOND),
-            // Of a successor's `CatchUpS` an election may take up to two spans, the letting in a tenth.
-            replacement_timeout: within(catch_up / 4, election, 2 * SECOND),
-            join_interval: within(catch_up / 8, 200 * MS, SECOND),
+            // A control node that returns has `CatchUpS` to rejoin; one that is away for twice that long is removed.
+            removal_timeout: clamp(2 * catch_up, 4 * SECOND, 30 * SECOND),
+            // Of the `CatchUpS` of a replacement, an election may take up to two timeouts and the join a tenth.
+            replacement_timeout: clamp(catch_up / 4, election, 2 * SECOND),
+            join_interval: clamp(catch_up / 8, 200 * MS, SECOND),
             fault_tolerance: consensus::FaultTolerance {
-                machines: losses.machine_losses,
-                domains: parts.into_iter().max_by_key(|part| share(*part)).unwrap_or_default(),
+                machines: tolerance.machine_losses,
+                domains: domains.into_iter().max_by_key(|domain| per_mille(*domain)).unwrap_or_default(),
             },
             max_chunk_bytes: 256 << 10,
         };
-        let usual = control_state::VerdictSettings::default();
-        let rollback = micros(bounds.rollback_s);
-        // A verdict's way to all foyers takes the rest of `RollbackS`.
-        let count = control_state::VerdictSettings {
-            lone_roll_back_duration: within(rollback * 2 / 5, 0, usual.lone_roll_back_duration),
-            verdict_repeat_interval: within(rollback / 5, 200 * MS, usual.verdict_repeat_interval),
-            ..usual
+        let default = control_state::VerdictSettings::default();
+        let rollback = seconds_to_micros(bounds.rollback_s);
+        // The rest of `RollbackS` is left for the verdict to reach all gateways.
+        let verdicts = control_state::VerdictSettings {
+            lone_roll_back_duration: clamp(rollback * 2 / 5, 0, default.lone_roll_back_duration),
+            verdict_repeat_interval: clamp(rollback / 5, 200 * MS, default.verdict_repeat_interval),
+            ..default
         };
-        let hand_over = within(micros(bounds.grace_s) * 2 / 3, 0, 5 * SECOND);
-        Spans { book, count, drain: micros(bounds.drain_s), ack: micros(bounds.ack_s), hand_over }
+        let leadership_transfer_timeout = clamp(seconds_to_micros(bounds.grace_s) * 2 / 3, 0, 5 * SECOND);
+        DerivedTimings {
+            consensus,
+            verdicts,
+            drain_limit: seconds_to_micros(bounds.drain_s),
+            ack_timeout: seconds_to_micros(bounds.ack_s),
+            leadership_transfer_timeout,
+        }
     }
 }
 
-impl Default for Spans {
-    /// Of a deployment that tells nothing.
-    fn default() -> Spans {
-        Spans::of_bounds(&Bounds::default(), FaultTolerance::default(), 1, 1)
+impl Default for DerivedTimings {
+    /// Timings of a deployment that sets no bounds.
+    fn default() -> DerivedTimings {
+        DerivedTimings::from_bounds(&TimerBounds::default(), FaultTolerance::default(), 1, 1)
     }
 }
 
-/// Seconds between beats where the file says nothing.
-const USUAL_HEARTBEAT: f64 = 1.5;
-/// Seconds are told as whole microseconds; a longer span than this is a slip of the pen.
-const LONGEST_S: f64 = 86_400.0;
-/// Figures of a machine: no share, size or count above this is meant.
-const LARGEST: f64 = 1e9;
-/// Machines, zones or regions that may be lost at once: more than any deployment has.
-const MOST_LOSSES: usize = 10_000;
-/// Bytes of names; among nodes they go cut to `membership::NAME_BYTES_MAX`.
-const NAME_MOST: usize = 253;
-
-/// Seconds as whole microseconds; what is negative, too long or no number is 0.
-pub fn micros(seconds: f64) -> Micros {
+/// Seconds between heartbeats if the file doesn't set `HeartbeatS`.
+const DEFAULT_HEARTBEAT_S: f64 = 1.5;
+/// Longest duration, in seconds, that is accepted; a larger value is taken for a typing error.
+const MAX_DURATION_S: f64 = 86_400.0;
+/// Upper bound of sizes, counts and ratios; a larger value is taken for a typing error.
+const MAX_LIMIT: f64 = 1e9;
+/// Upper bound of tolerated losses, above the size of any deployment.
+const MAX_TOLERATED_LOSSES: usize = 10_000;
+/// Longest name in bytes. Nodes exchange names truncated to `membership::NAME_BYTES_MAX`.
+const MAX_NAME_BYTES: usize = 253;
+
+/// Converts seconds to whole microseconds. Negative, non-finite and values from 1e9 on become 0.
+pub fn seconds_to_micros(seconds: f64) -> Micros {
     if seconds.is_finite() && (0.0..1e9).contains(&seconds) { (seconds * 1e6).round() as Micros } else { 0 }
 }
 
 impl Settings {
-    /// The file that the variable names.
+    /// The path in the environment variable; an error if it isn't set.
     pub fn path() -> Result<PathBuf, SettingsError> {
-        std::env::var_os(VARIABLE).map(PathBuf::from).ok_or(SettingsError::Unnamed)
+        std::env::var_os(SETTINGS_PATH_VARIABLE).map(PathBuf::from).ok_or(SettingsError::PathNotSet)
     }
 
-    /// Reads and checks a file, whichever part the process plays.
+    /// Reads and validates a file, for either role.
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| SettingsError::Unreadable { path: path.to_owned(), error })?;
         let table: toml::Table = toml::from_str(&text)
-            .map_err(|error| SettingsError::Wrong { path: path.to_owned(), error: Box::new(error) })?;
-        Settings::of(&table).map_err(|faults| SettingsError::Faults { path: path.to_owned(), faults })
+            .map_err(|error| SettingsError::InvalidToml { path: path.to_owned(), error: Box::new(error) })?;
+        Settings::from_table(&table).map_err(|faults| SettingsError::Faults { path: path.to_owned(), faults })
     }
 
-    /// As `read`, and with what a process that plays `part` can't do without.
-    pub fn read_for(path: &Path, part: Role) -> Result<Settings, SettingsError> {
+    /// Like `read`, and also fails if a key is missing that a process of `role` needs.
+    pub fn read_for(path: &Path, role: Role) -> Result<Settings, SettingsError> {
         let settings = Settings::read(path)?;
-        let faults = settings.lacking(part);
+        let faults = settings.missing_for(role);
         if faults.is_empty() {
             Ok(settings)
         } else {
@@ -246,8 +257,8 @@
         }
     }
 
-    /// The part that the addresses in the file are for; `None` where there are none.
-    pub fn part(&self) -> Option<Role> {
+    /// The role that the listen addresses belong to; `None` if none is set.
+    pub fn role(&self) -> Option<Role> {
         let listen = &self.listen_addresses;
         if listen.control.is_some() {
             return Some(Role::ControlNode);
@@ -255,10 +266,10 @@
         (listen.frontend.is_some() || listen.readiness.is_some()).then_some(Role::Gateway)
     }
 
-    /// What a process of a part needs and the file does not tell.
-    pub fn lacking(&self, part: Role) -> Vec<Fault> {
+    /// The keys that a process of `role` needs and that are missing in the file.
+    pub fn missing_for(&self, role: Role) -> Vec<Fault> {
         let listen = &self.listen_addresses;
-        let wanted = match part {
+        let required = match role {
             Role::Gateway => [
                 ("ListenAddresses.Frontend", listen.frontend.is_some(), "the IP:port for clients"),
                 ("ListenAddresses.Readiness", listen.readiness.is_some(), "the IP:port for the platform"),
@@ -272,86 +283,95 @@
                 ("DataDirectory", self.data_directory.is_some(), "the folder for a prompter's disk"),
             ],
         };
-        let missing = wanted.into_iter().filter(|(_, there, _)| !there);
+        let missing = required.into_iter().filter(|(_, present, _)| !present);
         missing.map(|(key, _, expected)| fault(key, "nothing".to_owned(), expected)).collect()
     }
 
-    /// Checks every key that is read; all faults at once. Keys that are not known are passed over, since
-    /// later versions bring others.
-    pub fn of(table: &toml::Table) -> Result<Settings, Vec<Fault>> {
+    /// Validates every known key and returns all faults at once. Unknown keys are ignored, because later versions may
+    /// add keys.
+    pub fn from_table(table: &toml::Table) -> Result<Settings, Vec<Fault>> {
         let mut faults = Vec::new();
-        let mut top = Keys { table: Some(table), within: "", faults: &mut faults };
-        let node_name = top.name("NodeName");
-        let ip_address = top.wanted("IpAddress", "an IPv4 address of this machine", |value| {
+        let mut root = TableReader { table: Some(table), prefix: "", faults: &mut faults };
+        let node_name = root.name("NodeName");
+        let ip_address = root.required("IpAddress", "an IPv4 address of this machine", |value| {
             let found: Ipv4Addr = value.as_str()?.parse().ok()?;
             (!found.is_unspecified() && !found.is_multicast() && !found.is_broadcast()).then_some(found)
         });
-        let zone = top.name("Zone");
-        let region = top.or("Region", "a text", String::new(), |value| value.as_str().map(str::to_owned));
+        let zone = root.name("Zone");
+        let region =
+            root.optional("Region", "a text", String::new(), |value| value.as_str().map(str::to_owned));
         let internal_port_range =
-            top.wanted("InternalPortRange", "two ports from 1 to 65535, the lower first", |value| {
+            root.required("InternalPortRange", "two ports from 1 to 65535, the lower first", |value| {
                 let [low, high] = value.as_array()?.as_slice() else { return None };
                 let port =
                     |value: &toml::Value| u16::try_from(value.as_integer()?).ok().filter(|port| *port > 0);
                 Some([port(low)?, port(high)?]).filter(|[low, high]| low <= high)
             });
-        let seed_nodes =
-            top.wanted("SeedNodes", "a list of IP:port, one at least, each a prompter's Control", |value| {
+        let seed_nodes = root.required(
+            "SeedNodes",
+            "a list of IP:port, one at least, each a prompter's Control",
+            |value| {
                 let seeds: Option<Vec<_>> = value.as_array()?.iter().map(address).collect();
                 seeds.filter(|seeds| !seeds.is_empty())
-            });
-        let initial_start = top.or("InitialStart", "true or false", false, toml::Value::as_bool);
-        let data_directory = top.or("DataDirectory", "a folder's path", None, |value| {
+            },
+        );
+        let initial_start = root.optional("InitialStart", "true or false", false, toml::Value::as_bool);
+        let data_directory = root.optional("DataDirectory", "a folder's path", None, |value| {
             value.as_str().filter(|path| !path.is_empty()).map(|path| Some(PathBuf::from(path)))
         });
-        // Under half a microsecond it would be 0 where it is used.
-        let heartbeat_s = top.or("HeartbeatS", "seconds above 0, under 3600", USUAL_HEARTBEAT, |value| {
-            number(value).filter(|found| micros(*found) > 0 && *found < 3600.0)
-        });
-        let zones =
-            top.or("Zones", "a table of zones, each with its region's name", Default::default(), |value| {
+        // Below half a microsecond the value would be rounded to 0.
+        let heartbeat_s =
+            root.optional("HeartbeatS", "seconds above 0, under 3600", DEFAULT_HEARTBEAT_S, |value| {
+                number(value).filter(|found| seconds_to_micros(*found) > 0 && *found < 3600.0)
+            });
+        let zones = root.optional(
+            "Zones",
+            "a table of zones, each with its region's name",
+            Default::default(),
+            |value| {
                 let zones = value.as_table()?.iter();
                 zones.map(|(zone, region)| Some((zone.clone(), region.as_str()?.to_owned()))).collect()
-            });
-        let mut listen = top.within("ListenAddresses");
-        let listen_addresses = Listen {
-            frontend: listen.or("Frontend", "IP:port", None, |value| address(value).map(Some)),
-            readiness: listen.or("Readiness", "IP:port", None, |value| address(value).map(Some)),
-            control: listen.or("Control", "IP:port", None, |value| address(value).map(Some)),
+            },
+        );
+        let mut listen = root.table("ListenAddresses");
+        let listen_addresses = ListenAddresses {
+            frontend: listen.optional("Frontend", "IP:port", None, |value| address(value).map(Some)),
+            readiness: listen.optional("Readiness", "IP:port", None, |value| address(value).map(Some)),
+            control: listen.optional("Control", "IP:port", None, |value| address(value).map(Some)),
         };
-        let usual = MachineLimits::default();
-        let mut limits = top.within("LimitSet");
+        let default = MachineLimits::default();
+        let mut limits = root.table("LimitSet");
         let limit_set = MachineLimits {
-            cpu_share: limits.above_0("CpuShare", usual.cpu_share),
-            memory_mb: limits.above_0("MemoryMb", usual.memory_mb),
-            fd_limit: limits.above_0("FdLimit", usual.fd_limit),
-            link_mbps: limits.above_0("LinkMbps", usual.link_mbps),
-            disk_mb: limits.upto("DiskMb", usual.disk_mb, LARGEST),
+            cpu_share: limits.positive("CpuShare", default.cpu_share),
+            memory_mb: limits.positive("MemoryMb", default.memory_mb),
+            fd_limit: limits.positive("FdLimit", default.fd_limit),
+            link_mbps: limits.positive("LinkMbps", default.link_mbps),
+            disk_mb: limits.up_to("DiskMb", default.disk_mb, MAX_LIMIT),
         };
-        let usual = FaultTolerance::default();
-        let mut losses = top.within("FaultTolerance");
+        let default = FaultTolerance::default();
+        let mut tolerance = root.table("FaultTolerance");
         let fault_tolerance = FaultTolerance {
-            machine_losses: losses.count("MachineLosses", usual.machine_losses),
-            zones: losses.count("Zones", usual.zones),
-            region_losses: losses.count("RegionLosses", usual.region_losses),
+            machine_losses: tolerance.count("MachineLosses", default.machine_losses),
+            zones: tolerance.count("Zones", default.zones),
+            region_losses: tolerance.count("RegionLosses", default.region_losses),
         };
-        let usual = Bounds::default();
-        let mut bounds = top.within("TimerBounds");
-        let timer_bounds = Bounds {
-            contact_s: bounds.upto("ContactS", usual.contact_s, LONGEST_S),
-            ack_s: bounds.upto("AckS", usual.ack_s, LONGEST_S),
-            catch_up_s: bounds.upto("CatchUpS", usual.catch_up_s, LONGEST_S),
-            drain_s: bounds.upto("DrainS", usual.drain_s, LONGEST_S),
-            grace_s: bounds.upto("GraceS", usual.grace_s, LONGEST_S),
-            config_apply_s: bounds.upto("ConfigApplyS", usual.config_apply_s, LONGEST_S),
-            retry_budget_ratio: bounds.upto("RetryBudgetRatio", usual.retry_budget_ratio, LARGEST),
-            retry_window_s: bounds.upto("RetryWindowS", usual.retry_window_s, LONGEST_S),
-            retry_budget_slack: bounds.upto("RetryBudgetSlack", usual.retry_budget_slack, LARGEST),
-            exposure_share: bounds.upto("ExposureShare", usual.exposure_share, 1.0),
-            exposure_slack: bounds.upto("ExposureSlack", usual.exposure_slack, LARGEST),
-            rollback_s: bounds.upto("RollbackS", usual.rollback_s, LONGEST_S),
+        let default = TimerBounds::default();
+        let mut bounds = root.table("TimerBounds");
+        let timer_bounds = TimerBounds {
+            contact_s: bounds.up_to("ContactS", default.contact_s, MAX_DURATION_S),
+            ack_s: bounds.up_to("AckS", default.ack_s, MAX_DURATION_S),
+            catch_up_s: bounds.up_to("CatchUpS", default.catch_up_s, MAX_DURATION_S),
+            drain_s: bounds.up_to("DrainS", default.drain_s, MAX_DURATION_S),
+            grace_s: bounds.up_to("GraceS", default.grace_s, MAX_DURATION_S),
+            config_apply_s: bounds.up_to("ConfigApplyS", default.config_apply_s, MAX_DURATION_S),
+            retry_budget_ratio: bounds.up_to("RetryBudgetRatio", default.retry_budget_ratio, MAX_LIMIT),
+            retry_window_s: bounds.up_to("RetryWindowS", default.retry_window_s, MAX_DURATION_S),
+            retry_budget_slack: bounds.up_to("RetryBudgetSlack", default.retry_budget_slack, MAX_LIMIT),
+            exposure_share: bounds.up_to("ExposureShare", default.exposure_share, 1.0),
+            exposure_slack: bounds.up_to("ExposureSlack", default.exposure_slack, MAX_LIMIT),
+            rollback_s: bounds.up_to("RollbackS", default.rollback_s, MAX_DURATION_S),
         };
-        // One that is wanted and not there has left a fault.
+        // A required key that is missing has added a fault.
         let (
             Some(node_name),
             Some(ip_address),
@@ -381,33 +401,33 @@
         })
     }
 
-    /// This node as it tells of itself.
-    pub fn member(&self, part: Role, life: RunId) -> Member {
+    /// The membership record that this node announces.
+    pub fn member(&self, role: Role, run_id: RunId) -> Member {
         let (zone, name) = (self.zone.clone(), self.node_name.clone());
-        Member { address: self.place(), run_id: life, role: part, zone, name, version: NodeVersion::CURRENT }
+        Member { address: self.node_address(), run_id, role, zone, name, version: NodeVersion::CURRENT }
     }
 
-    pub fn place(&self) -> NodeAddress {
+    pub fn node_address(&self) -> NodeAddress {
         NodeAddress(self.ip_address)
     }
 
-    /// What follows from the bounds.
-    pub fn spans(&self) -> Spans {
+    /// The timings that follow from the bounds and the zones.
+    pub fn derived_timings(&self) -> DerivedTimings {
         let regions: std::collections::BTreeSet<&String> = self.zones.values().collect();
-        Spans::of_bounds(&self.timer_bounds, self.fault_tolerance, self.zones.len(), regions.len())
+        DerivedTimings::from_bounds(&self.timer_bounds, self.fault_tolerance, self.zones.len(), regions.len())
     }
 
-    /// The machines that may know others.
-    pub fn seeds(&self) -> Vec<NodeAddress> {
+    /// Addresses of the nodes that are contacted first.
+    pub fn seed_addresses(&self) -> Vec<NodeAddress> {
         self.seed_nodes.iter().map(|seed| NodeAddress(*seed.ip())).collect()
     }
 
-    /// The port of what nodes say to each other.
+    /// The port for traffic between nodes.
     pub fn internal_port(&self) -> u16 {
         self.internal_port_range[0]
     }
 
-    /// The port at which all prompters serve control.
+    /// The port at which all control nodes serve the control API.
     pub fn control_port(&self) -> u16 {
         self.seed_nodes.first().map_or(0, |seed| seed.port())
     }
@@ -417,106 +437,113 @@
     Fault { key: key.to_owned(), found, expected: expected.to_owned() }
 }
 
-/// A value much as it stands in the file.
-fn quoted(value: &toml::Value) -> String {
+/// A value as text, for error messages.
+fn describe_value(value: &toml::Value) -> String {
     match value {
         toml::Value::String(text) => format!("{text:?}"),
         toml::Value::Integer(number) => number.to_string(),
         toml::Value::Float(number) => number.to_string(),
         toml::Value::Boolean(truth) => truth.to_string(),
-        toml::Value::Array(list) => format!("[{}]", list.iter().map(quoted).collect::<Vec<_>>().join(", ")),
+        toml::Value::Array(list) => {
+            format!("[{}]", list.iter().map(describe_value).collect::<Vec<_>>().join(", "))
+        }
         toml::Value::Table(_) => "a table".to_owned(),
         toml::Value::Datetime(_) => "a date".to_owned(),
     }
 }
 
-/// TOML tells 3 from 3.0; a figure may be written either way.
+/// A finite number. TOML distinguishes 3 and 3.0; both are accepted.
 fn number(value: &toml::Value) -> Option<f64> {
     let found = value.as_float().or_else(|| value.as_integer().map(|whole| whole as f64))?;
     found.is_finite().then_some(found)
 }
 
+/// An IPv4 address with a port other than 0.
 fn address(value: &toml::Value) -> Option<SocketAddrV4> {
     let found: SocketAddrV4 = value.as_str()?.parse().ok()?;
     (found.port() > 0).then_some(found)
 }
 
-/// Reads one table's keys and notes what is wrong with them.
-struct Keys<'a> {
+/// Reads the keys of one table and collects faults.
+struct TableReader<'a> {
     table: Option<&'a toml::Table>,
-    /// The table's name and a dot; empty for the whole file.
-    within: &'static str,
+    /// The table's name and a dot; empty for the root table.
+    prefix: &'static str,
     faults: &'a mut Vec<Fault>,
 }
 
-impl<'a> Keys<'a> {
-    /// The value of a key as `read` takes it; a fault and `None` where it takes none. A missing key is `None`
-    /// alone.
+impl<'a> TableReader<'a> {
+    /// Parses the value of a key with `read`. The outer `None` means that the key is missing. The inner `None` means that
+    /// `read` rejected the value; a fault has been added.
     fn get<T>(
         &mut self, key: &str, expected: &str, read: impl Fn(&toml::Value) -> Option<T>,
     ) -> Option<Option<T>> {
         let value = self.table?.get(key)?;
         let found = read(value);
         if found.is_none() {
-            let mut text = quoted(value);
+            let mut text = describe_value(value);
             if text.len() > 80 {
                 let cut = text.floor_char_boundary(80);
                 text.truncate(cut);
                 text.push_str("...");
             }
-            self.faults.push(fault(&format!("{}{key}", self.within), text, expected));
+            self.faults.push(fault(&format!("{}{key}", self.prefix), text, expected));
         }
         Some(found)
     }
 
-    fn wanted<T>(
+    /// Like `get`, but a missing key is a fault.
+    fn required<T>(
         &mut self, key: &str, expected: &str, read: impl Fn(&toml::Value) -> Option<T>,
     ) -> Option<T> {
         self.get(key, expected, read).unwrap_or_else(|| {
-            self.faults.push(fault(&format!("{}{key}", self.within), "nothing".to_owned(), expected));
+            self.faults.push(fault(&format!("{}{key}", self.prefix), "nothing".to_owned(), expected));
             None
         })
     }
 
-    fn or<T>(&mut self, key: &str, expected: &str, usual: T, read: impl Fn(&toml::Value) -> Option<T>) -> T {
-        self.get(key, expected, read).flatten().unwrap_or(usual)
+    /// Like `get`, but a missing or invalid key gives `default`.
+    fn optional<T>(
+        &mut self, key: &str, expected: &str, default: T, read: impl Fn(&toml::Value) -> Option<T>,
+    ) -> T {
+        self.get(key, expected, read).flatten().unwrap_or(default)
     }
 
     fn name(&mut self, key: &str) -> Option<String> {
-        self.wanted(key, &format!("a text of 1 to {NAME_MOST} bytes"), |value| {
-            value.as_str().filter(|text| (1..=NAME_MOST).contains(&text.len())).map(str::to_owned)
+        self.required(key, &format!("a text of 1 to {MAX_NAME_BYTES} bytes"), |value| {
+            value.as_str().filter(|text| (1..=MAX_NAME_BYTES).contains(&text.len())).map(str::to_owned)
         })
     }
 
-    fn upto(&mut self, key: &str, usual: f64, most: f64) -> f64 {
-        self.or(key, &format!("a number from 0 to {most}"), usual, |value| {
-            number(value).filter(|found| (0.0..=most).contains(found))
+    fn up_to(&mut self, key: &str, default: f64, max: f64) -> f64 {
+        self.optional(key, &format!("a number from 0 to {max}"), default, |value| {
+            number(value).filter(|found| (0.0..=max).contains(found))
         })
     }
 
-    fn count(&mut self, key: &str, usual: usize) -> usize {
-        self.or(key, &format!("a whole number from 0 to {MOST_LOSSES}"), usual, |value| {
+    fn count(&mut self, key: &str, default: usize) -> usize {
+        self.optional(key, &format!("a whole number from 0 to {MAX_TOLERATED_LOSSES}"), default, |value| {
             let found = number(value).filter(|found| found.fract() == 0.0)?;
-            (0.0..=MOST_LOSSES as f64).contains(&found).then_some(found as usize)
+            (0.0..=MAX_TOLERATED_LOSSES as f64).contains(&found).then_some(found as usize)
         })
     }
 
-    fn above_0(&mut self, key: &str, usual: f64) -> f64 {
-        self.or(key, "a number above 0", usual, |value| {
-            number(value).filter(|found| *found > 0.0 && *found <= LARGEST)
+    fn positive(&mut self, key: &str, default: f64) -> f64 {
+        self.optional(key, "a number above 0", default, |value| {
+            number(value).filter(|found| *found > 0.0 && *found <= MAX_LIMIT)
         })
     }
 
-    /// The keys of a table within; none where it is missing.
-    fn within(&mut self, key: &'static str) -> Keys<'_> {
+    /// A reader of a sub-table; it finds no keys if the table is missing.
+    fn table(&mut self, key: &'static str) -> TableReader<'_> {
         let table = self.get(key, "a table", |value| value.is_table().then_some(())).flatten();
         let table = table.and_then(|()| self.table?.get(key)?.as_table());
-        let within = match key {
+        let prefix = match key {
             "ListenAddresses" => "ListenAddresses.",
             "LimitSet" => "LimitSet.",
             "FaultTolerance" => "FaultTolerance.",
             _ => "TimerBounds.",
         };
-        Keys { table, within, faults: self.faults }
+        TableReader { table, prefix, faults: self.faults }
     }
 }
