--- a/crates/rehearsal/src/world/prompter.rs
+++ b/crates/rehearsal/src/world/prompter.rs
@@ -80,7 +80,7 @@
         let life = RunId(self.chance.rand_u64());
         let house = self.house(at, life);
         let seed = self.chance.rand_u64();
-        let spans = self.settings.spans();
+        let spans = self.settings.derived_timings();
         let (control, out) = Control::start(house, seat, members, saved, &spans, seed, 0);
         let process = PrompterProc {
             control,
--- a/crates/understudy/src/targets/disk.rs
+++ b/crates/understudy/src/targets/disk.rs
@@ -8,7 +8,7 @@
 use control_state::{Command, ControlState};
 use membership::{Member, Role};
 use playhouse::house::House;
-use playhouse::settings::Spans;
+use playhouse::settings::DerivedTimings;
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
 use storage::{Batch, KeyValuePairs, LogStore, Operation, StorageError, Store, StoreError, checksummed};
@@ -192,7 +192,7 @@
         assert_eq!((&again.state, again.disk_id), (&opened.state, opened.disk_id), "it reads back the same");
         // Whoever starts on it goes on, or says that it can't.
         let (book, effects) =
-            RaftNode::start(seat(1), None, opened.state.clone(), Spans::default().book, 5, 0);
+            RaftNode::start(seat(1), None, opened.state.clone(), DerivedTimings::default().consensus, 5, 0);
         signature.bucket("effects", effects.len() as u64);
         signature.mark("member", u64::from(book.is_member()));
         if let Some(snapshot) = &opened.state.snapshot {
--- a/crates/understudy/src/targets/words.rs
+++ b/crates/understudy/src/targets/words.rs
@@ -7,7 +7,7 @@
 use membership::{Member, Role};
 use playhouse::control::{Control, In, Out};
 use playhouse::house::{House, Letter, Word, opened};
-use playhouse::settings::Spans;
+use playhouse::settings::DerivedTimings;
 use registry::{Heartbeat, InstanceId};
 use types::{
     CallId, Carrier, ConfigVersion, FormatRange, FormatVersion, MS, Micros, NodeAddress, NodeVersion, RunId,
@@ -66,7 +66,7 @@
         seat(number),
         Some(voters),
         PersistentState::default(),
-        &Spans::default(),
+        &DerivedTimings::default(),
         number.into(),
         now,
     );
