--- a/crates/playhouse/src/commands/check.rs
+++ b/crates/playhouse/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: settings and configurations before they are used.
+//! `check`: validates settings files and configurations before they are used.
 
 use std::path::{Path, PathBuf};
 
@@ -12,13 +12,13 @@
 
 #[derive(Debug, clap::Args)]
 pub struct Check {
-    /// The settings file; without it the one that GARNETDOOR_SETTINGS names, unless only --config is given.
+    /// The settings file. Default: the one that GARNETDOOR_SETTINGS names, unless only --config is given.
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
-    /// The part that the settings are for; without it, as the addresses under ListenAddresses tell.
+    /// The role that the settings are for. Default: by the addresses under ListenAddresses.
     #[arg(long = "for", value_name = "PART", value_enum)]
-    part: Option<RoleName>,
-    /// An operator's whole configuration (JSON).
+    role: Option<RoleName>,
+    /// A whole configuration (JSON).
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     /// Print JSON, for scripts.
@@ -26,6 +26,7 @@
     json: bool,
 }
 
+/// Roles by their names on the command line.
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 enum RoleName {
     #[value(name = "foyer")]
@@ -35,41 +36,41 @@
 }
 
 impl From<RoleName> for Role {
-    fn from(named: RoleName) -> Role {
-        match named {
+    fn from(name: RoleName) -> Role {
+        match name {
             RoleName::Gateway => Role::Gateway,
             RoleName::ControlNode => Role::ControlNode,
         }
     }
 }
 
-/// What was found in one file: what holds, or places with what is wrong there.
-struct Looked {
+/// The result for one file: the effective values, or the places with the problem found there.
+struct FileReport {
     path: PathBuf,
     faults: Vec<(String, String)>,
-    /// Faults beyond those listed.
+    /// Number of faults that are not listed.
     more: usize,
-    holds: String,
+    effective_values: String,
 }
 
 impl Check {
     pub fn run(&self) -> CommandResult {
-        let mut all = Vec::new();
+        let mut reports = Vec::new();
         if let Some(path) = &self.settings {
-            all.push(settings(path, self.part)?);
+            reports.push(settings(path, self.role)?);
         } else if self.config.is_none() {
-            all.push(settings(&Settings::path()?, self.part)?);
+            reports.push(settings(&Settings::path()?, self.role)?);
         }
         if let Some(path) = &self.config {
-            all.push(configuration(path)?);
+            reports.push(configuration(path)?);
         }
         if self.json {
-            let value: Vec<OwnedValue> = all.iter().map(Looked::json).collect();
+            let value: Vec<OwnedValue> = reports.iter().map(FileReport::json).collect();
             print_json(&simd_json::json!({ "Files": value }))?;
         } else {
-            print(all.iter().map(Looked::words).collect::<String>().as_bytes())?;
+            print(reports.iter().map(FileReport::render).collect::<String>().as_bytes())?;
         }
-        if all.iter().all(|looked| looked.faults.is_empty()) {
+        if reports.iter().all(|report| report.faults.is_empty()) {
             Ok(())
         } else {
             Err(CommandError::CheckFailed)
@@ -77,39 +78,41 @@
     }
 }
 
-fn settings(path: &Path, part: Option<RoleName>) -> Result<Looked, CommandError> {
-    let (faults, holds) = match Settings::read(path) {
-        Ok(settings) => match part.map(Role::from).or_else(|| settings.role()) {
-            Some(part) => (told(&settings.missing_for(part)), holds(&settings, part)),
+/// Checks a settings file.
+fn settings(path: &Path, role: Option<RoleName>) -> Result<FileReport, CommandError> {
+    let (faults, effective_values) = match Settings::read(path) {
+        Ok(settings) => match role.map(Role::from).or_else(|| settings.role()) {
+            Some(role) => (fault_rows(&settings.missing_for(role)), effective_values(&settings, role)),
             None => {
                 let expected = "nothing; expected Control for a prompter, Frontend and Readiness for a foyer";
                 (vec![("ListenAddresses".to_owned(), expected.to_owned())], String::new())
             }
         },
-        Err(SettingsError::Faults { faults, .. }) => (told(&faults), String::new()),
+        Err(SettingsError::Faults { faults, .. }) => (fault_rows(&faults), String::new()),
         Err(SettingsError::InvalidToml { error, .. }) => {
             (vec![(String::new(), error.to_string().trim_end().replace('\n', "\n    "))], String::new())
         }
-        // One file that can't be read must not hide what is wrong with the other.
+        // An unreadable file must not hide the faults of the other one.
         Err(SettingsError::Unreadable { error, .. }) => {
             (vec![(String::new(), error.to_string())], String::new())
         }
         Err(error) => return Err(error.into()),
     };
-    Ok(Looked { path: path.to_owned(), faults, more: 0, holds })
+    Ok(FileReport { path: path.to_owned(), faults, more: 0, effective_values })
 }
 
-fn told(faults: &[Fault]) -> Vec<(String, String)> {
-    let told = |fault: &Fault| (fault.key.clone(), format!("{}; expected {}", fault.found, fault.expected));
-    faults.iter().map(told).collect()
+/// The keys of faults with what is wrong there.
+fn fault_rows(faults: &[Fault]) -> Vec<(String, String)> {
+    let row = |fault: &Fault| (fault.key.clone(), format!("{}; expected {}", fault.found, fault.expected));
+    faults.iter().map(row).collect()
 }
 
-/// All that holds, by the file's own keys, also where the file says nothing.
-fn holds(settings: &Settings, part: Role) -> String {
+/// All effective values by the keys of the file, including defaults.
+fn effective_values(settings: &Settings, role: Role) -> String {
     let Settings {
         listen_addresses: listen,
         limit_set: limits,
-        fault_tolerance: losses,
+        fault_tolerance: tolerance,
         timer_bounds: bounds,
         ..
     } = settings;
@@ -117,7 +120,7 @@
     let [low, high] = settings.internal_port_range;
     let address = |address: Option<std::net::SocketAddrV4>| address.map_or("-".to_owned(), |a| a.to_string());
     let rows = [
-        ("part", if part == Role::Gateway { "foyer" } else { "prompter" }.to_owned()),
+        ("part", if role == Role::Gateway { "foyer" } else { "prompter" }.to_owned()),
         ("NodeName", settings.node_name.clone()),
         ("IpAddress", settings.ip_address.to_string()),
         ("Zone", settings.zone.clone()),
@@ -139,9 +142,9 @@
         ("LimitSet.FdLimit", limits.fd_limit.to_string()),
         ("LimitSet.LinkMbps", limits.link_mbps.to_string()),
         ("LimitSet.DiskMb", limits.disk_mb.to_string()),
-        ("FaultTolerance.MachineLosses", losses.machine_losses.to_string()),
-        ("FaultTolerance.Zones", losses.zones.to_string()),
-        ("FaultTolerance.RegionLosses", losses.region_losses.to_string()),
+        ("FaultTolerance.MachineLosses", tolerance.machine_losses.to_string()),
+        ("FaultTolerance.Zones", tolerance.zones.to_string()),
+        ("FaultTolerance.RegionLosses", tolerance.region_losses.to_string()),
         ("TimerBounds.ContactS", bounds.contact_s.to_string()),
         ("TimerBounds.AckS", bounds.ack_s.to_string()),
         ("TimerBounds.CatchUpS", bounds.catch_up_s.to_string()),
@@ -158,60 +161,62 @@
     rows.iter().map(|(key, value)| format!("  {key} = {value}\n")).collect()
 }
 
-fn configuration(path: &Path) -> Result<Looked, CommandError> {
-    let looked = |faults, more, holds| Looked { path: path.to_owned(), faults, more, holds };
+/// Checks a configuration file.
+fn configuration(path: &Path) -> Result<FileReport, CommandError> {
+    let report =
+        |faults, more, effective_values| FileReport { path: path.to_owned(), faults, more, effective_values };
     let bytes = match read(path) {
         Ok(bytes) => bytes,
         Err(CommandError::File { error, .. }) => {
-            return Ok(looked(vec![(String::new(), error.to_string())], 0, String::new()));
+            return Ok(report(vec![(String::new(), error.to_string())], 0, String::new()));
         }
-        Err(failed) => return Err(failed),
+        Err(error) => return Err(error),
     };
     Ok(match Configuration::parse(&bytes) {
-        Ok(bill) => {
-            let holds = format!(
+        Ok(configuration) => {
+            let effective_values = format!(
                 "  version {}\n  {} routes\n  {} services\n",
-                bill.version,
-                bill.routes.len(),
-                bill.services.len()
+                configuration.version,
+                configuration.routes.len(),
+                configuration.services.len()
             );
-            looked(Vec::new(), 0, holds)
+            report(Vec::new(), 0, effective_values)
         }
         Err(faults) => {
             let list = faults.list.into_iter().map(|fault| (fault.place, fault.expected));
-            looked(list.collect(), faults.omitted, String::new())
+            report(list.collect(), faults.omitted, String::new())
         }
     })
 }
 
-impl Looked {
-    fn words(&self) -> String {
+impl FileReport {
+    fn render(&self) -> String {
         let path = self.path.display();
         if self.faults.is_empty() {
-            return format!("{path}: well\n{}", self.holds);
+            return format!("{path}: well\n{}", self.effective_values);
         }
-        let line = |(place, wrong): &(String, String)| {
-            let between = if place.is_empty() { "" } else { ": " };
-            format!("  {place}{between}{wrong}\n")
+        let line = |(place, problem): &(String, String)| {
+            let separator = if place.is_empty() { "" } else { ": " };
+            format!("  {place}{separator}{problem}\n")
         };
         let faults: String = self.faults.iter().map(line).collect();
         let more = if self.more > 0 { format!("  and {} more\n", self.more) } else { String::new() };
         let number = self.faults.len() + self.more;
-        let many = if number == 1 { "" } else { "s" };
-        format!("{path}: {number} fault{many}\n{faults}{more}")
+        let plural = if number == 1 { "" } else { "s" };
+        format!("{path}: {number} fault{plural}\n{faults}{more}")
     }
 
     fn json(&self) -> OwnedValue {
         let faults = self.faults.iter();
         let faults: Vec<OwnedValue> = faults
-            .map(|(place, wrong)| simd_json::json!({ "Place": place.clone(), "Wrong": wrong.clone() }))
+            .map(|(place, problem)| simd_json::json!({ "Place": place.clone(), "Wrong": problem.clone() }))
             .collect();
-        let holds = self.holds.lines().filter_map(|line| line.trim().split_once(" = "));
-        let holds: simd_json::owned::Object =
-            holds.map(|(key, value)| (key.to_owned(), OwnedValue::from(value))).collect();
+        let effective_values = self.effective_values.lines().filter_map(|line| line.trim().split_once(" = "));
+        let effective_values: simd_json::owned::Object =
+            effective_values.map(|(key, value)| (key.to_owned(), OwnedValue::from(value))).collect();
         simd_json::json!({
             "File": self.path.display().to_string(), "Faults": faults, "More": self.more,
-            "Holds": OwnedValue::from(holds),
+            "Holds": OwnedValue::from(effective_values),
         })
     }
 }
--- a/crates/playhouse/src/commands/ledger.rs
+++ b/crates/playhouse/src/commands/ledger.rs
@@ -1,4 +1,4 @@
-//! `ledger`: the data folder of a prompter that does not run, read without touching it.
+//! `ledger`: reads the data directory of a control node that is not running, without changing it.
 
 use std::fs::{self, File, TryLockError};
 use std::io::ErrorKind;
@@ -16,54 +16,54 @@
 use super::view::rollout_state;
 use super::{CommandError, CommandResult, print, print_json};
 
-/// The file within a data folder.
-const NAME: &str = "ledger.redb";
-/// A new core's entries and terms begin so far above those of the old one's disk, which may lack the newest:
-/// whoever saw those takes the new core's state for newer than anything it holds.
-const ABOVE: u64 = 1 << 32;
+/// The store's file within a data directory.
+const STORE_FILE: &str = "ledger.redb";
+/// Distance of the first index and term of a new control plane from the last ones on the old disk. That disk may lack
+/// the newest entries; with the distance, nodes that have seen those still take the new state for the newer one.
+const NEW_CORE_OFFSET: u64 = 1 << 32;
 
 #[derive(Debug, clap::Subcommand)]
 pub enum StorageCommand {
-    /// Print what a ledger holds.
+    /// Print the contents of a store.
     Inspect {
-        /// The data folder.
+        /// The data directory.
         dir: PathBuf,
         /// Print JSON, for scripts.
         #[arg(long)]
         json: bool,
     },
-    /// Read all of a ledger and check it: checksums, gaps, commands, the state they make. Exit code 1 where
-    /// it is damaged.
+    /// Read a whole store and check it: checksums, gaps, commands and the resulting state. Exit code 1 if it is damaged.
     Verify {
-        /// The data folder.
+        /// The data directory.
         dir: PathBuf,
         /// Print JSON, for scripts.
         #[arg(long)]
         json: bool,
     },
-    /// Write the state that a ledger holds as files: configuration.json, state.json.
+    /// Write the state in a store to files: configuration.json, state.json.
     Export {
-        /// The data folder.
+        /// The data directory.
         dir: PathBuf,
-        /// The folder that the files are written to.
+        /// Directory that the files are written to.
         #[arg(long, value_name = "FOLDER", default_value = ".")]
         to: PathBuf,
         /// Print JSON, for scripts.
         #[arg(long)]
         json: bool,
     },
-    /// Begin a new core from one disk of an old one, of which a majority is lost for good. What that disk had
-    /// not heard of is lost. Without --the-others-are-gone it tells what would be kept, and writes nothing.
+    /// Start a new control plane from one disk of an old one whose majority is lost for good. What that disk had not
+    /// received is lost. Without --the-others-are-gone, print what would be kept and write nothing.
     Begin {
-        /// The data folder that is left; it stays as it is.
+        /// The remaining data directory; it is not changed.
         dir: PathBuf,
-        /// The data folder of the new core's first voter: new, or empty.
+        /// Data directory of the new control plane's first voter: new, or empty.
         #[arg(long, value_name = "FOLDER")]
         to: PathBuf,
-        /// IpAddress of the machine that will run on the new folder.
+        /// IpAddress of the machine that will run on the new directory.
         #[arg(long, value_name = "IP")]
         address: Ipv4Addr,
-        /// No other prompter of the old core runs, nor will again on its old folder. Else there are two cores.
+        /// Confirms that no other control node of the old control plane runs or will ever run on its old directory. Otherwise
+        /// there would be two control planes.
         #[arg(long)]
         the_others_are_gone: bool,
         /// Print JSON, for scripts.
@@ -72,63 +72,66 @@
     },
 }
 
-/// What a ledger holds, and the state after its last entry.
-struct Held {
+/// The contents of a store, and the state after its last entry.
+struct LoadedStore {
     opened: OpenedLog,
-    script: ControlState,
-    /// Commands that can't be read, by their entries.
+    state: ControlState,
+    /// Indexes of the entries whose commands can't be decoded.
     unreadable: Vec<u64>,
-    /// Commands that changed the state, and those that were refused when they were carried out.
-    taken: usize,
+    /// Number of commands that changed the state, and of those that were rejected when they were applied.
+    applied: usize,
     refused: usize,
 }
 
-/// A folder for the copy that is read; it goes when this does.
-struct Passing(PathBuf);
+/// A directory for the copy that is read; removed on drop.
+struct TemporaryDirectory(PathBuf);
 
-impl Passing {
-    fn make() -> Result<Passing, CommandError> {
+impl TemporaryDirectory {
+    fn create() -> Result<TemporaryDirectory, CommandError> {
         let name = format!("playhouse-ledger-{}-{:x}", std::process::id(), crate::house::chance());
         let path = std::env::temp_dir().join(name);
         fs::create_dir(&path).map_err(|error| CommandError::File { path: path.clone(), error })?;
-        Ok(Passing(path))
+        Ok(TemporaryDirectory(path))
     }
 }
 
-impl Drop for Passing {
+impl Drop for TemporaryDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn damaged(dir: &Path, why: impl std::fmt::Display) -> CommandError {
+/// An error about the store in `dir`.
+fn store_error(dir: &Path, why: impl std::fmt::Display) -> CommandError {
     CommandError::Process(format!("{}: {why}", dir.display()).into())
 }
 
-/// Why there is nothing to look at.
-fn nothing(dir: &Path) -> String {
-    let is = match dir.metadata() {
-        Ok(found) if !found.is_dir() => "it is no folder; name the DataDirectory of a prompter",
+/// Why `dir` holds no store.
+fn missing_store_reason(dir: &Path) -> String {
+    let reason = match dir.metadata() {
+        Ok(metadata) if !metadata.is_dir() => "it is no folder; name the DataDirectory of a prompter",
         Ok(_) if DiskStore::was_set_aside(dir) => {
             "no ledger.redb here, but one that was set aside: ledger.bad"
         }
         Ok(_) => "no ledger.redb here; name the DataDirectory of a prompter",
         Err(_) => "there is no such folder",
     };
-    format!("{}: {is}", dir.display())
+    format!("{}: {reason}", dir.display())
 }
 
-/// Reads a copy, since opening a store rewrites it, and a damaged one is to stay as it was found.
-fn hold(dir: &Path) -> Result<Held, CommandError> {
-    let path = dir.join(NAME);
-    let at = |error| CommandError::File { path: path.clone(), error };
+/// Loads a copy of the store, because opening a store writes to its file, and a damaged one must stay unchanged.
+fn load(dir: &Path) -> Result<LoadedStore, CommandError> {
+    let path = dir.join(STORE_FILE);
+    let file_error = |error| CommandError::File { path: path.clone(), error };
     let file = match File::open(&path) {
         Ok(file) => file,
-        Err(error) if error.kind() == ErrorKind::NotFound => return Err(CommandError::Usage(nothing(dir))),
-        Err(error) => return Err(at(error)),
+        Err(error) if error.kind() == ErrorKind::NotFound => {
+            return Err(CommandError::Usage(missing_store_reason(dir)));
+        }
+        Err(error) => return Err(file_error(error)),
     };
-    if file.metadata().map_err(at)?.len() == 0 {
-        return Err(damaged(dir, "ledger.redb is empty: no program of ours left it so"));
+    if file.metadata().map_err(file_error)?.len() == 0 {
+        return Err(store_error(dir, "ledger.redb is empty: no program of ours left it so"));
     }
     match file.try_lock_shared() {
         Ok(()) => {}
@@ -138,51 +141,52 @@
                 dir.display()
             )));
         }
-        Err(TryLockError::Error(error)) => return Err(at(error)),
+        Err(TryLockError::Error(error)) => return Err(file_error(error)),
     }
-    let passing = Passing::make()?;
-    fs::copy(&path, passing.0.join(NAME)).map_err(at)?;
+    let temporary = TemporaryDirectory::create()?;
+    fs::copy(&path, temporary.0.join(STORE_FILE)).map_err(file_error)?;
     drop(file);
-    let store = DiskStore::open(&passing.0).map_err(StorageError::from);
+    let store = DiskStore::open(&temporary.0).map_err(StorageError::from);
     let (_, opened) =
-        store.and_then(|store| LogStore::open(store, RunId(0))).map_err(|error| damaged(dir, error))?;
-    let mut held = Held { opened, script: ControlState::new(), unreadable: Vec::new(), taken: 0, refused: 0 };
-    if let Some(snapshot) = &held.opened.state.snapshot {
-        let restored = held.script.restore(0, snapshot.index, &snapshot.data);
-        restored.map_err(|error| damaged(dir, format!("snapshot {}: {error}", snapshot.index.0)))?;
+        store.and_then(|store| LogStore::open(store, RunId(0))).map_err(|error| store_error(dir, error))?;
+    let mut loaded =
+        LoadedStore { opened, state: ControlState::new(), unreadable: Vec::new(), applied: 0, refused: 0 };
+    if let Some(snapshot) = &loaded.opened.state.snapshot {
+        let restored = loaded.state.restore(0, snapshot.index, &snapshot.data);
+        restored.map_err(|error| store_error(dir, format!("snapshot {}: {error}", snapshot.index.0)))?;
     }
-    for entry in &held.opened.state.entries {
+    for entry in &loaded.opened.state.entries {
         let EntryPayload::Command(data) = &entry.payload else { continue };
         if Command::decode(data).is_none() {
-            held.unreadable.push(entry.index.0);
+            loaded.unreadable.push(entry.index.0);
         }
-        match held.script.apply(0, entry.index, data) {
-            CommandOutcome::Applied => held.taken += 1,
-            beyond @ CommandOutcome::UnsupportedFormat { .. } => {
-                return Err(damaged(
+        match loaded.state.apply(0, entry.index, data) {
+            CommandOutcome::Applied => loaded.applied += 1,
+            outcome @ CommandOutcome::UnsupportedFormat { .. } => {
+                return Err(store_error(
                     dir,
-                    format!("entry {}: {}", entry.index.0, crate::prompter::refusal(&beyond)),
+                    format!("entry {}: {}", entry.index.0, crate::prompter::refusal(&outcome)),
                 ));
             }
-            _ => held.refused += 1,
+            _ => loaded.refused += 1,
         }
     }
-    Ok(held)
+    Ok(loaded)
 }
 
-impl Held {
-    fn last(&self) -> LogIndex {
+impl LoadedStore {
+    fn last_index(&self) -> LogIndex {
         let snapshot = self.opened.state.snapshot.as_ref().map_or(LogIndex(0), |snapshot| snapshot.index);
         self.opened.state.entries.last().map_or(snapshot, |entry| entry.index)
     }
 
-    /// Of the entry that `last` names: of two disks, the one with the higher has the newer state.
+    /// Term of the entry at `last_index`. Of two disks, the one with the higher term has the newer state.
     fn last_term(&self) -> u64 {
         let snapshot = self.opened.state.snapshot.as_ref().map_or(0, |snapshot| snapshot.term.0);
         self.opened.state.entries.last().map_or(snapshot, |entry| entry.term.0)
     }
 
-    /// Who votes after the last entry.
+    /// The voters after the last entry.
     fn members(&self) -> Members {
         let saved = &self.opened.state;
         let mut newest = None;
@@ -199,9 +203,9 @@
     fn json(&self) -> OwnedValue {
         let saved = &self.opened.state;
         let voters: Vec<OwnedValue> = (self.members().0.iter())
-            .map(|seat| simd_json::json!({ "Place": seat.address.to_string(), "Life": format!("{:x}", seat.disk_id.0) }))
+            .map(|voter| simd_json::json!({ "Place": voter.address.to_string(), "Life": format!("{:x}", voter.disk_id.0) }))
             .collect();
-        let rollouts: Vec<OwnedValue> = (self.script.rollouts.values())
+        let rollouts: Vec<OwnedValue> = (self.state.rollouts.values())
             .map(|rollout| {
                 simd_json::json!({
                     "Service": rollout.service.clone(), "State": rollout.state.map(rollout_state),
@@ -212,19 +216,19 @@
         simd_json::json!({
             "Life": format!("{:x}", self.opened.disk_id.0),
             "Term": saved.term.0,
-            "VotedFor": saved.voted_for.map(|seat| seat.to_string()),
+            "VotedFor": saved.voted_for.map(|voter| voter.to_string()),
             "SnapshotAt": saved.snapshot.as_ref().map_or(0, |snapshot| snapshot.index.0),
             "SnapshotBytes": saved.snapshot.as_ref().map_or(0, |snapshot| snapshot.data.len()),
             "Entries": saved.entries.len(),
-            "Last": self.last().0,
+            "Last": self.last_index().0,
             "LastTerm": self.last_term(),
             "Committed": saved.commit_index.0,
-            "Taken": self.taken,
+            "Taken": self.applied,
             "Refused": self.refused,
             "Unreadable": self.unreadable.clone(),
             "Voters": voters,
-            "ConfigVersion": self.script.configuration_version().to_string(),
-            "AgreedForm": self.script.agreed_format().0,
+            "ConfigVersion": self.state.configuration_version().to_string(),
+            "AgreedForm": self.state.agreed_format().0,
             "Rollouts": rollouts,
         })
     }
@@ -234,8 +238,8 @@
     pub fn run(&self) -> CommandResult {
         match self {
             StorageCommand::Inspect { dir, json } => {
-                let held = hold(dir)?;
-                if *json { print_json(&held.json()) } else { print(words(&held).as_bytes()) }
+                let loaded = load(dir)?;
+                if *json { print_json(&loaded.json()) } else { print(render(&loaded).as_bytes()) }
             }
             StorageCommand::Verify { dir, json } => verify(dir, *json),
             StorageCommand::Export { dir, to, json } => export(dir, to, *json),
@@ -246,8 +250,9 @@
     }
 }
 
-fn words(held: &Held) -> String {
-    let value = held.json();
+/// Formats the contents as text, one line per key.
+fn render(loaded: &LoadedStore) -> String {
+    let value = loaded.json();
     let Some(fields) = value.as_object() else { return String::new() };
     let mut fields: Vec<(&String, &OwnedValue)> = fields.iter().collect();
     fields.sort_by_key(|(key, _)| *key);
@@ -261,122 +266,123 @@
     fields.into_iter().map(line).collect()
 }
 
+/// Checks a store and prints the result.
 fn verify(dir: &Path, json: bool) -> CommandResult {
-    let (last, wrong) = match hold(dir) {
-        Ok(held) if held.unreadable.is_empty() => (held.last().0, String::new()),
-        Ok(held) => (held.last().0, format!("entries that hold no command of ours: {:?}", held.unreadable)),
+    let (last, problem) = match load(dir) {
+        Ok(loaded) if loaded.unreadable.is_empty() => (loaded.last_index().0, String::new()),
+        Ok(loaded) => {
+            (loaded.last_index().0, format!("entries that hold no command of ours: {:?}", loaded.unreadable))
+        }
         Err(CommandError::Process(error)) => (0, error.to_string()),
         Err(error) => return Err(error),
     };
-    let sound = wrong.is_empty();
+    let intact = problem.is_empty();
     if json {
-        print_json(&simd_json::json!({ "Sound": sound, "Last": last, "Wrong": wrong }))?;
-    } else if sound {
+        print_json(&simd_json::json!({ "Sound": intact, "Last": last, "Wrong": problem }))?;
+    } else if intact {
         print(format!("{}: sound, up to entry {last}\n", dir.display()).as_bytes())?;
     } else {
-        print(format!("{wrong}\n").as_bytes())?;
+        print(format!("{problem}\n").as_bytes())?;
     }
-    if sound { Ok(()) } else { Err(CommandError::CheckFailed) }
+    if intact { Ok(()) } else { Err(CommandError::CheckFailed) }
 }
 
+/// Writes state and configuration of a store into a directory.
 fn export(dir: &Path, to: &Path, json: bool) -> CommandResult {
-    let held = hold(dir)?;
+    let loaded = load(dir)?;
     fs::create_dir_all(to).map_err(|error| CommandError::File { path: to.to_owned(), error })?;
     let write = |name: &str, bytes: &[u8]| {
         let path = to.join(name);
         fs::write(&path, bytes).map_err(|error| CommandError::File { path, error })
     };
-    write("state.json", format!("{}\n", held.json().encode()).as_bytes())?;
-    let version = held.script.configuration_version();
-    if let Some(bill) = held.script.configuration() {
-        write("configuration.json", &bill.to_json())?;
+    write("state.json", format!("{}\n", loaded.json().encode()).as_bytes())?;
+    let version = loaded.state.configuration_version();
+    if let Some(configuration) = loaded.state.configuration() {
+        write("configuration.json", &configuration.to_json())?;
     }
     if json {
         return print_json(&simd_json::json!({
-            "Folder": to.display().to_string(), "ConfigVersion": version.to_string(), "Last": held.last().0,
+            "Folder": to.display().to_string(), "ConfigVersion": version.to_string(), "Last": loaded.last_index().0,
         }));
     }
     print(
-        format!("configuration {version}, as of entry {}, is in {}\n", held.last().0, to.display())
+        format!("configuration {version}, as of entry {}, is in {}\n", loaded.last_index().0, to.display())
             .as_bytes(),
     )
 }
 
-/// Writes the state of one disk as the first of a new core of one voter, into a folder of its own. The new
-/// disk has a new life, so that nothing is expected of it that the old one promised, and nobody of the old
-/// core takes its voice for one of theirs.
-fn begin(dir: &Path, to: &Path, place: NodeAddress, sure: bool, json: bool) -> CommandResult {
-    let held = hold(dir)?;
-    if !held.unreadable.is_empty() {
-        return Err(damaged(dir, format!("entries that hold no command of ours: {:?}", held.unreadable)));
+/// Writes the state of one disk as the initial state of a new control plane with one voter, into a new directory. The
+/// new disk gets a new id: it isn't bound by promises of the old disk, and voters of the old control plane don't count
+/// its votes.
+fn begin(dir: &Path, to: &Path, address: NodeAddress, confirmed: bool, json: bool) -> CommandResult {
+    let loaded = load(dir)?;
+    if !loaded.unreadable.is_empty() {
+        return Err(store_error(
+            dir,
+            format!("entries that hold no command of ours: {:?}", loaded.unreadable),
+        ));
     }
-    if held.last() == LogIndex(0) {
+    if loaded.last_index() == LogIndex(0) {
         let text = format!("{}: it holds nothing; start as on the first start of all", dir.display());
         return Err(CommandError::Usage(text));
     }
-    let at = |error| CommandError::File { path: to.to_owned(), error };
-    let found = match fs::read_dir(to) {
-        Ok(mut found) => found.next().is_some(),
+    let file_error = |error| CommandError::File { path: to.to_owned(), error };
+    let not_empty = match fs::read_dir(to) {
+        Ok(mut entries) => entries.next().is_some(),
         Err(error) if error.kind() == ErrorKind::NotFound => false,
-        Err(error) => return Err(at(error)),
+        Err(error) => return Err(file_error(error)),
     };
-    if found {
+    if not_empty {
         return Err(CommandError::Usage(format!("{}: not empty; name a new folder", to.display())));
     }
-    let told = |voter: Option<VoterId>| {
+    let report = |voter: Option<VoterId>| {
         if json {
-            let voter = voter.map(|seat| seat.to_string());
+            let voter = voter.map(|voter| voter.to_string());
             return print_json(&simd_json::json!({
                 "Folder": to.display().to_string(), "Begun": voter.is_some(), "Voter": voter,
-                "ConfigVersion": held.script.configuration_version().to_string(), "Last": held.last().0,
-                "LastTerm": held.last_term(), "Committed": held.opened.state.commit_index.0,
+                "ConfigVersion": loaded.state.configuration_version().to_string(), "Last": loaded.last_index().0,
+                "LastTerm": loaded.last_term(), "Committed": loaded.opened.state.commit_index.0,
             }));
         }
-        let old: Vec<String> = held.members().0.iter().map(|seat| seat.address.to_string()).collect();
-        let begun =
-            voter.map(|seat| format!("{} begins a new core: its one voter is {seat}\n", to.display()));
-        let kept = format!(
+        let old_voters: Vec<String> =
+            loaded.members().0.iter().map(|voter| voter.address.to_string()).collect();
+        let begun_line =
+            voter.map(|voter| format!("{} begins a new core: its one voter is {voter}\n", to.display()));
+        let report_text = format!(
             "kept: configuration {}, roll-outs of {} services, all up to entry {} of term {}\n\
              lost: what {} had not heard of, perhaps changes that were acknowledged\n\
              also kept: entries after {}, perhaps never acknowledged\n\
              voters before: {}\n{}",
-            held.script.configuration_version(),
-            held.script.rollouts.len(),
-            held.last().0,
-            held.last_term(),
+            loaded.state.configuration_version(),
+            loaded.state.rollouts.len(),
+            loaded.last_index().0,
+            loaded.last_term(),
             dir.display(),
-            held.opened.state.commit_index.0,
-            old.join(", "),
-            begun.unwrap_or_default(),
+            loaded.opened.state.commit_index.0,
+            old_voters.join(", "),
+            begun_line.unwrap_or_default(),
         );
-        print(kept.as_bytes())
+        print(report_text.as_bytes())
     };
-    if !sure {
-        told(None)?;
+    if !confirmed {
+        report(None)?;
         return Err(CommandError::Usage(
             "nothing is written: stop the others, put their data folders out of reach, and add \
              --the-others-are-gone"
                 .to_owned(),
         ));
     }
-    let failed = |error: StorageError| CommandError::Process(format!("{}: {error}", to.display()).into());
-    let life = RunId(crate::house::chance() | 1);
-    let store = DiskStore::open(to).map_err(|error| failed(error.into()))?;
-    let (mut ledger, _) = LogStore::open(store, life).map_err(failed)?;
-    let term = Term(held.opened.state.term.0.max(held.last_term()) + ABOVE);
-    let index = LogIndex(held.last().0 + ABOVE);
-    let members = Members(vec![VoterId { address: place, disk_id: life }]);
-    let snapshot = Some(Snapshot { index, term, members, data: held.script.snapshot() });
-    let (no, voted, cut_from, entries) = (WriteId(1), None, None, Vec::new());
-    let write = Write {
-        id: no,
-        term,
-        voted_for: voted,
-        commit_index: index,
-        truncate_from: cut_from,
-        entries,
-        snapshot,
-    };
-    ledger.write(&write).map_err(failed)?;
-    told(Some(VoterId { address: place, disk_id: life }))
+    let storage_error =
+        |error: StorageError| CommandError::Process(format!("{}: {error}", to.display()).into());
+    let disk_id = RunId(crate::house::chance() | 1);
+    let store = DiskStore::open(to).map_err(|error| storage_error(error.into()))?;
+    let (mut store, _) = LogStore::open(store, disk_id).map_err(storage_error)?;
+    let term = Term(loaded.opened.state.term.0.max(loaded.last_term()) + NEW_CORE_OFFSET);
+    let index = LogIndex(loaded.last_index().0 + NEW_CORE_OFFSET);
+    let members = Members(vec![VoterId { address, disk_id }]);
+    let snapshot = Some(Snapshot { index, term, members, data: loaded.state.snapshot() });
+    let (id, voted_for, truncate_from, entries) = (WriteId(1), None, None, Vec::new());
+    let write = Write { id, term, voted_for, commit_index: index, truncate_from, entries, snapshot };
+    store.write(&write).map_err(storage_error)?;
+    report(Some(VoterId { address, disk_id }))
 }
--- a/crates/playhouse/src/commands/mod.rs
+++ b/crates/playhouse/src/commands/mod.rs
@@ -1,5 +1,5 @@
-//! Call-sheet (command line): what an operator types. Every verb that asks the system does so over the calls
-//! of api/openapi.yaml; those that read files need no system.
+//! The command line. Commands that query or change a running system use the HTTP API of api/openapi.yaml; commands that
+//! read files need no running system.
 
 mod call;
 mod check;
@@ -24,93 +24,92 @@
 use crate::settings::{Settings, SettingsError};
 use crate::{demo, foyer, prompter};
 
-const EXIT_CODES: &str = "Exit codes: 0 all is well; 1 what was looked at is not (faults, differences, damage, a roll-out that was \
-turned back, a process that could not go on); 2 the command line is wrong; 3 no clear answer from any machine; \
+const EXIT_CODES: &str = "Exit codes: 0 success; 1 a check found a problem (faults, differences, damage, a roll-out that was \
+reverted) or a process failed; 2 the command line is wrong; 3 no clear answer from any machine; \
 4 the system refused.";
 
-/// garnetdoor as a fleet: foyers carry the traffic, prompters serve control.
+/// Distributed API gateway: gateways (`foyer`) carry traffic, control nodes (`prompter`) serve the control API.
 #[derive(Debug, Parser)]
 #[command(name = "playhouse", version, after_help = EXIT_CODES)]
 pub struct CommandLine {
-    /// What is logged at once: off, error, warn, info, debug or trace. RUST_LOG goes first.
+    /// Level of the lines that are logged at once: off, error, warn, info, debug or trace. RUST_LOG overrides it.
     #[arg(long, global = true, default_value = "warn")]
     pub log: LevelFilter,
-    /// What is kept in memory and written out when something goes wrong.
+    /// Level of the lines that are kept in memory and written out when a failure occurs.
     #[arg(long, global = true, default_value = "info")]
     pub ring: LevelFilter,
     #[command(subcommand)]
     command: Command,
 }
 
-/// How a role is served.
+/// Options of a long-running process.
 #[derive(Debug, clap::Args)]
 struct Serve {
-    /// Tell metrics at this port of the machine's address, under /metrics.
+    /// Serve metrics at this port of the machine's address, under /metrics.
     #[arg(long)]
     metrics: Option<u16>,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Carry traffic: requests from clients to instances.
+    /// Run a gateway, which forwards requests of clients to instances.
     #[command(name = "foyer")]
     Gateway(Serve),
-    /// Serve control: calls of operators and instances, and the ordered log.
+    /// Run a control node, which serves the API for operators and instances and keeps the replicated log.
     #[command(name = "prompter")]
     ControlNode(Serve),
-    /// Check a settings file and an operator's configuration: all faults with their places, or what holds.
+    /// Check a settings file and a configuration: list all faults with their places, or the values in force.
     Check(check::Check),
-    /// Get, compare and change the configuration in force.
+    /// Print, compare and change the configuration in force.
     #[command(subcommand)]
     Config(config::Config),
-    /// Bring a new version of a service into service, by trial.
+    /// Roll out a new version of a service, with a trial.
     #[command(subcommand)]
     Rollout(rollout::Rollout),
-    /// List the nodes as one prompter sees them.
+    /// List the nodes as one control node sees them.
     Members {
         #[command(flatten)]
-        at: call::Target,
+        target: call::Target,
     },
-    /// List the instances as one prompter sees them.
+    /// List the instances as one control node sees them.
     Instances {
         #[command(flatten)]
-        at: call::Target,
-        /// Only those of this service.
+        target: call::Target,
+        /// Only the instances of this service.
         #[arg(long)]
         service: Option<String>,
     },
-    /// Show the whole: who leads, voters, log, configuration, roll-outs with votes, foyers, instances by
-    /// state.
+    /// Show the state of the system: leader, voters, log, configuration, roll-outs with their votes, gateways, instances
+    /// by state.
     Status {
         #[command(flatten)]
-        at: call::Target,
+        target: call::Target,
     },
-    /// Look at the data folder of a prompter that does not run.
+    /// Work on the data directory of a control node that is not running.
     #[command(subcommand, name = "ledger")]
     Storage(ledger::StorageCommand),
-    /// Show the whole system at work on loopback, with stand-ins of all that is around it.
+    /// Demonstrate the whole system on loopback, with simulated clients, instances and operator.
     Demo(demo::DemoArgs),
-    /// Play days of the whole system in simulated time: runs playhouse-rehearse, which lies beside this
-    /// program.
+    /// Simulate the whole system in virtual time: runs playhouse-rehearse from this program's directory.
     #[command(name = "rehearse", disable_help_flag = true)]
     Simulate {
-        /// As `playhouse rehearse --help` tells them: --seed, --days, --scenario, --plot and more.
+        /// Arguments of the simulation, listed by `playhouse rehearse --help`: --seed, --days, --scenario, --plot and more.
         #[arg(trailing_var_arg = true, allow_hyphen_values = true, value_name = "ARGS")]
         args: Vec<std::ffi::OsString>,
     },
-    /// Print what a shell completes this program's words by.
+    /// Print a completion script for a shell.
     Completions { shell: clap_complete::Shell },
-    /// Print the manual page, or write one for each verb into a folder.
+    /// Print the manual page, or write one page per command into a directory.
     Man {
         #[arg(long, value_name = "FOLDER")]
         to: Option<PathBuf>,
     },
 }
 
-/// Why a verb did not end well; each kind has an exit code of its own.
+/// Why a command failed; the variants map to exit codes.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// What was looked at is not as it should be; it has been told already.
+    /// A check found a problem, which has already been printed.
     #[error("")]
     CheckFailed,
     #[error("{0}")]
@@ -142,47 +141,50 @@
     }
 }
 
+/// Outcome of a command; its output has been printed.
 type CommandResult = Result<(), CommandError>;
 
-/// Does what the line says; tells what failed on standard error.
-pub fn run(line: CommandLine) -> ExitCode {
-    let done = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(runtime) => tokio::task::LocalSet::new().block_on(&runtime, execute(line.command)),
+/// Runs the command and writes a failure to standard error.
+pub fn run(command_line: CommandLine) -> ExitCode {
+    let result = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+        Ok(runtime) => tokio::task::LocalSet::new().block_on(&runtime, execute(command_line.command)),
         Err(error) => Err(CommandError::Process(error.into())),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failed) => {
-            let text = failed.to_string();
+        Err(error) => {
+            let text = error.to_string();
             if !text.is_empty() {
-                // Nobody can be told that standard error is gone.
+                // A failure to write to standard error can't be reported anywhere.
                 let _ = writeln!(std::io::stderr().lock(), "playhouse: {text}");
             }
-            ExitCode::from(failed.code())
+            ExitCode::from(error.code())
         }
     }
 }
 
 async fn execute(command: Command) -> CommandResult {
-    let settings =
-        |part| -> Result<_, SettingsError> { Ok(Rc::new(Settings::read_for(&Settings::path()?, part)?)) };
-    let ended = |error: Box<dyn std::error::Error>| {
+    let read_settings =
+        |role| -> Result<_, SettingsError> { Ok(Rc::new(Settings::read_for(&Settings::path()?, role)?)) };
+    let terminated = |error: Box<dyn std::error::Error>| {
         log::error!("the process ends: {error}");
         CommandError::Process(error)
     };
     match command {
-        Command::Gateway(serve) => foyer::run(settings(Role::Gateway)?, serve.metrics).await.map_err(ended),
+        Command::Gateway(serve) => {
+            foyer::run(read_settings(Role::Gateway)?, serve.metrics).await.map_err(terminated)
+        }
         Command::ControlNode(serve) => {
-            prompter::run(settings(Role::ControlNode)?, serve.metrics).await.map_err(ended)
+            prompter::run(read_settings(Role::ControlNode)?, serve.metrics).await.map_err(terminated)
         }
         Command::Check(check) => check.run(),
         Command::Config(config) => config.run().await,
         Command::Rollout(rollout) => rollout.run().await,
-        Command::Members { at } => show::members(&at).await,
-        Command::Instances { at, service } => show::instances(&at, service.as_deref()).await,
-        Command::Status { at } => show::status(&at).await,
+        Command::Members { target } => show::members(&target).await,
+        Command::Instances { target, service } => show::instances(&target, service.as_deref()).await,
+        Command::Status { target } => show::status(&target).await,
         Command::Storage(command) => command.run(),
-        Command::Demo(line) => demo::run(line).await.map_err(CommandError::Process),
+        Command::Demo(args) => demo::run(args).await.map_err(CommandError::Process),
         Command::Simulate { args } => Err(rehearse::run(&args)),
         Command::Completions { shell } => {
             let mut bytes = Vec::new();
@@ -196,14 +198,14 @@
             print(&bytes)
         }
         Command::Man { to: Some(folder) } => {
-            let at = |error| CommandError::File { path: folder.clone(), error };
-            std::fs::create_dir_all(&folder).map_err(at)?;
-            clap_mangen::generate_to(CommandLine::command(), &folder).map_err(at)
+            let file_error = |error| CommandError::File { path: folder.clone(), error };
+            std::fs::create_dir_all(&folder).map_err(file_error)?;
+            clap_mangen::generate_to(CommandLine::command(), &folder).map_err(file_error)
         }
     }
 }
 
-/// Writes to standard output; a reader that has gone is no fault.
+/// Writes to standard output. A closed pipe is not an error.
 fn print(bytes: &[u8]) -> CommandResult {
     match std::io::stdout().lock().write_all(bytes) {
         Err(error) if error.kind() != std::io::ErrorKind::BrokenPipe => {
@@ -213,32 +215,33 @@
     }
 }
 
-/// One value on a line of its own.
+/// Prints a JSON value on one line.
 fn print_json(value: &OwnedValue) -> CommandResult {
     print(format!("{}\n", value.encode()).as_bytes())
 }
 
-/// A file's bytes; `-` is standard input.
+/// Reads a file; `-` is standard input.
 fn read(path: &std::path::Path) -> Result<Vec<u8>, CommandError> {
-    let found = if path.as_os_str() == "-" {
+    let result = if path.as_os_str() == "-" {
         let mut bytes = Vec::new();
         std::io::Read::read_to_end(&mut std::io::stdin().lock(), &mut bytes).map(|_| bytes)
     } else {
         std::fs::read(path)
     };
-    found.map_err(|error| CommandError::File { path: path.to_owned(), error })
+    result.map_err(|error| CommandError::File { path: path.to_owned(), error })
 }
 
-/// A text under a key; empty where there is none.
+/// The string under a key, or an empty one.
 fn text<'a>(value: &'a OwnedValue, key: &str) -> &'a str {
     value.get(key).and_then(|found| found.as_str()).unwrap_or("")
 }
 
-/// A list under a key; empty where there is none.
+/// The array under a key, or an empty one.
 fn list<'a>(value: &'a OwnedValue, key: &str) -> &'a [OwnedValue] {
     value.get(key).and_then(|found| found.as_array()).map_or(&[], |found| found)
 }
 
+/// The unsigned integer under a key, or 0.
 fn count(value: &OwnedValue, key: &str) -> u64 {
     value.get(key).and_then(|found| found.as_u64()).unwrap_or(0)
 }
--- a/crates/playhouse/src/commands/rehearse.rs
+++ b/crates/playhouse/src/commands/rehearse.rs
@@ -1,5 +1,4 @@
-//! `rehearse`: the rehearsal is a program of its own, built on this one's cores; it takes this process's
-//! place.
+//! `rehearse`: replaces this process by the simulation, a program of its own.
 
 use std::ffi::OsString;
 use std::os::unix::process::CommandExt;
@@ -7,15 +6,16 @@
 
 use super::CommandError;
 
+/// File name of the simulation program, next to this one.
 const PROGRAM: &str = "playhouse-rehearse";
 
-/// Comes back only where the program can't be run.
+/// Executes the simulation; returns only if it can't be executed.
 pub fn run(args: &[OsString]) -> CommandError {
-    let own = match std::env::current_exe() {
-        Ok(own) => own,
+    let own_path = match std::env::current_exe() {
+        Ok(own_path) => own_path,
         Err(error) => return CommandError::Process(format!("this program can't be found: {error}").into()),
     };
-    let path = own.with_file_name(PROGRAM);
+    let path = own_path.with_file_name(PROGRAM);
     let error = Command::new(&path).args(args).exec();
     if error.kind() == std::io::ErrorKind::NotFound {
         let build = "build it with `cargo build --release -p rehearsal` and put it beside this program";
--- a/crates/playhouse/src/commands/rollout.rs
+++ b/crates/playhouse/src/commands/rollout.rs
@@ -1,38 +1,37 @@
-//! `rollout`: new versions of services, ordered and watched.
+//! `rollout`: starts and watches roll-outs of new versions of services.
 
 use std::io::{IsTerminal, Write as _};
 use std::time::Duration;
 
 use hyper::{Method, StatusCode};
 
-use super::call::{Target, good, seconds};
+use super::call::{Target, require_ok, seconds};
 use super::{CommandError, CommandResult, print, print_json, text};
 use crate::demo::client::HttpRequest;
 use crate::demo::operator::parse_json;
 
-/// From one look at a roll-out to the next.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Interval between two polls of a roll-out's state.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, clap::Subcommand)]
 pub enum Rollout {
-    /// Order a version of a service. Start its instances first; the old ones go only once it is completed.
+    /// Start the roll-out of a version. Start its instances first; stop the old ones only once it is completed.
     Start {
         #[command(flatten)]
-        at: Target,
+        target: Target,
         service: String,
         version: String,
-        /// Seconds that the trial may take.
+        /// Longest duration of the trial in seconds.
         #[arg(long, value_name = "S", value_parser = seconds)]
         period: Duration,
-        /// Wait for its end, as `watch` does.
+        /// Wait for the end, like `watch`.
         #[arg(long)]
         watch: bool,
     },
-    /// Print each state of a service's last roll-out until it ends: exit code 0 when it is completed, 1 when
-    /// it is reverted.
+    /// Print each state of a service's latest roll-out until it ends. Exit code 0: completed; 1: reverted.
     Watch {
         #[command(flatten)]
-        at: Target,
+        target: Target,
         service: String,
     },
 }
@@ -40,58 +39,59 @@
 impl Rollout {
     pub async fn run(&self) -> CommandResult {
         match self {
-            Rollout::Start { at, service, version, period, watch: then } => {
+            Rollout::Start { target, service, version, period, watch: watch_after } => {
                 let body = simd_json::json!({
                     "TargetService": service.clone(), "TargetVersion": version.clone(),
                     "RolloutPeriodS": period.as_secs_f64(),
                 });
-                let ask = HttpRequest::new(Method::POST, "/api/Rollouts.Initiate");
-                good(at.send(&ask.json(simd_json::prelude::Writable::encode(&body))).await?)?;
-                if *then {
-                    return watch(at, service).await;
+                let request = HttpRequest::new(Method::POST, "/api/Rollouts.Initiate");
+                require_ok(target.send(&request.json(simd_json::prelude::Writable::encode(&body))).await?)?;
+                if *watch_after {
+                    return watch(target, service).await;
                 }
-                if at.json {
+                if target.json {
                     print_json(&body)
                 } else {
                     print(format!("{service} {version} is ordered\n").as_bytes())
                 }
             }
-            Rollout::Watch { at, service } => watch(at, service).await,
+            Rollout::Watch { target, service } => watch(target, service).await,
         }
     }
 }
 
-async fn watch(at: &Target, service: &str) -> CommandResult {
-    // Names may hold what a path may not.
-    let path: String = service.bytes().map(in_path).collect();
-    let ask = HttpRequest::new(Method::GET, &format!("/api/Rollouts.Retrieve/{path}"));
+/// Polls a roll-out and prints each change of its state until it ends.
+async fn watch(target: &Target, service: &str) -> CommandResult {
+    // A service name may contain characters that are not allowed in a path.
+    let path: String = service.bytes().map(percent_encode).collect();
+    let request = HttpRequest::new(Method::GET, &format!("/api/Rollouts.Retrieve/{path}"));
     let mut last = String::new();
-    let began = std::time::Instant::now();
-    // Only for somebody who looks on; a script gets the states alone.
-    let looked_at = std::io::stderr().is_terminal();
+    let started = std::time::Instant::now();
+    // The progress line is for people at a terminal; a script gets only the states.
+    let interactive = std::io::stderr().is_terminal();
     loop {
-        let answer = at.send(&ask).await?;
-        if answer.status == StatusCode::NOT_FOUND {
+        let response = target.send(&request).await?;
+        if response.status == StatusCode::NOT_FOUND {
             return Err(CommandError::Refused { status: 404, text: format!("no roll-out of {service}") });
         }
-        let value = parse_json(&good(answer)?.body);
+        let value = parse_json(&require_ok(response)?.body);
         let value = value.ok_or_else(|| CommandError::NoAnswer("the answer is no JSON".to_owned()))?;
         let (state, version) = (text(&value, "State").to_owned(), text(&value, "TargetVersion"));
-        if looked_at {
-            let waited = began.elapsed().as_secs();
-            let mut to = std::io::stderr().lock();
-            // Nobody can be told that standard error is gone.
+        if interactive {
+            let elapsed_s = started.elapsed().as_secs();
+            let mut stderr = std::io::stderr().lock();
+            // A failure to write to standard error can't be reported anywhere.
             let _ = match state.as_str() {
-                "completed" | "reverted" => write!(to, "\r\x1b[K"),
-                _ => write!(to, "\r\x1b[K{service} {version}: {state}, watched for {waited} s"),
+                "completed" | "reverted" => write!(stderr, "\r\x1b[K"),
+                _ => write!(stderr, "\r\x1b[K{service} {version}: {state}, watched for {elapsed_s} s"),
             };
-            let _ = to.flush();
+            let _ = stderr.flush();
         }
         if state != last {
-            if looked_at {
+            if interactive {
                 let _ = write!(std::io::stderr().lock(), "\r\x1b[K");
             }
-            if at.json {
+            if target.json {
                 print_json(&value)?;
             } else {
                 print(format!("{service} {version}: {state}\n").as_bytes())?;
@@ -101,12 +101,13 @@
         match last.as_str() {
             "completed" => return Ok(()),
             "reverted" => return Err(CommandError::CheckFailed),
-            _ => tokio::time::sleep(LOOK_EVERY).await,
+            _ => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-fn in_path(byte: u8) -> String {
+/// One byte of a path segment, percent-encoded unless it is unreserved.
+fn percent_encode(byte: u8) -> String {
     match byte {
         b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'.' | b'_' | b'~' => char::from(byte).to_string(),
         _ => format!("%{byte:02X}"),
--- a/crates/playhouse/src/commands/view.rs
+++ b/crates/playhouse/src/commands/view.rs
@@ -1,4 +1,4 @@
-//! View (status of the whole): what one prompter knows, as `GET /api/Status` answers it. Read only.
+//! The response of `GET /api/Status`: the state of the system as one control node sees it.
 
 use std::collections::BTreeMap;
 
@@ -11,30 +11,30 @@
 use crate::control::Control;
 use crate::house::House;
 
-/// Instances that are listed; more are counted.
+/// Number of instances that are listed; the others are counted.
 const MAX_LISTED_INSTANCES: usize = 2048;
-/// Within so long after a change every node that is in touch has it, and has told so.
+/// Time after a change within which every connected node has applied and confirmed it.
 const RECENT_STATUS_WINDOW: Micros = 2 * SECOND;
 
-/// How the writes of this prompter fare.
+/// Health of this control node's disk.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DiskHealth {
-    /// For how long the oldest write has waited.
+    /// Age of the oldest pending write; `None` if none is pending.
     pub oldest_write_wait: Option<Micros>,
-    /// The disk said that it failed, and nothing has been written since.
+    /// The disk reported a failure, and no write has succeeded since.
     pub failing: bool,
 }
 
-fn seconds(span: Micros) -> f64 {
-    span as f64 / SECOND as f64
+fn seconds(duration: Micros) -> f64 {
+    duration as f64 / SECOND as f64
 }
 
-fn life(life: types::RunId) -> String {
-    format!("{:x}", life.0)
+fn run_id(id: types::RunId) -> String {
+    format!("{:x}", id.0)
 }
 
-fn standing(standing: MemberStatus) -> &'static str {
-    match standing {
+fn member_status(status: MemberStatus) -> &'static str {
+    match status {
         MemberStatus::Alive => "alive",
         MemberStatus::Suspect => "suspect",
         MemberStatus::Dead => "dead",
@@ -42,7 +42,7 @@
     }
 }
 
-fn state(state: InstanceState) -> &'static str {
+fn instance_state(state: InstanceState) -> &'static str {
     match state {
         InstanceState::InService => "in_service",
         InstanceState::Silent => "silent",
@@ -51,29 +51,29 @@
     }
 }
 
-/// The system as this prompter sees it at `now`.
+/// The status of the system as this control node sees it at `now`.
 pub fn status_json(control: &Control, disk: DiskHealth, now: Micros) -> OwnedValue {
-    let (house, book) = (&control.house, control.book());
-    let seat = control.seat();
-    let voters: Vec<OwnedValue> = (book.members().0.iter())
-        .map(|seat| simd_json::json!({ "Place": seat.address.to_string(), "Life": life(seat.disk_id) }))
+    let (house, raft) = (&control.house, control.book());
+    let voter = control.seat();
+    let voters: Vec<OwnedValue> = (raft.members().0.iter())
+        .map(|voter| simd_json::json!({ "Place": voter.address.to_string(), "Life": run_id(voter.disk_id) }))
         .collect();
-    let mut members = vec![member(house, now, &house.own, "alive")];
+    let mut members = vec![member_json(house, now, &house.own, "alive")];
     let others = house.company.members().filter(|(member, _)| member.address != house.own.address);
-    members.extend(others.map(|(one, stands)| member(house, now, one, standing(stands))));
+    members.extend(others.map(|(one, status)| member_json(house, now, one, member_status(status))));
     let rollouts: Vec<OwnedValue> =
-        house.script.rollouts.values().map(|rollout| trial(control, now, rollout)).collect();
-    let mut counts: BTreeMap<&str, [usize; 4]> = BTreeMap::new();
-    let (mut instances, mut more) = (Vec::new(), 0);
+        house.script.rollouts.values().map(|rollout| rollout_json(control, now, rollout)).collect();
+    let mut state_counts: BTreeMap<&str, [usize; 4]> = BTreeMap::new();
+    let (mut instances, mut omitted) = (Vec::new(), 0);
     for record in house.cast.instances() {
-        counts.entry(&record.service).or_default()[record.state as usize] += 1;
+        state_counts.entry(&record.service).or_default()[record.state as usize] += 1;
         if instances.len() < MAX_LISTED_INSTANCES {
-            instances.push(instance(now, record));
+            instances.push(instance_json(now, record));
         } else {
-            more += 1;
+            omitted += 1;
         }
     }
-    let counts: Vec<OwnedValue> = (counts.into_iter())
+    let state_counts: Vec<OwnedValue> = (state_counts.into_iter())
         .map(|(service, [in_service, silent, draining, gone])| {
             simd_json::json!({
                 "Service": service, "InService": in_service, "Silent": silent, "Draining": draining, "Gone": gone,
@@ -82,44 +82,45 @@
         .collect();
     simd_json::json!({
         "Node": {
-            "Name": house.own.name.clone(), "Place": seat.address.to_string(), "Life": life(seat.disk_id),
+            "Name": house.own.name.clone(), "Place": voter.address.to_string(), "Life": run_id(voter.disk_id),
             "Program": house.own.version.program.to_string(),
         },
         "AgreedForm": house.script.agreed_format().0,
         "WordsRefused": house.refused(),
-        "Leads": book.is_leader(),
-        "Leader": book.leader().map(|seat| seat.address.to_string()),
-        "Term": book.term().0,
-        "LogCommitted": book.commit_index().0,
+        "Leads": raft.is_leader(),
+        "Leader": raft.leader().map(|voter| voter.address.to_string()),
+        "Term": raft.term().0,
+        "LogCommitted": raft.commit_index().0,
         "LogApplied": house.script.last_applied().0,
         "ConfigVersion": house.script.configuration_version().to_string(),
         "Disk": { "WaitsS": disk.oldest_write_wait.map(seconds), "Fails": disk.failing },
         "Voters": voters,
         "Members": members,
         "Rollouts": rollouts,
-        "InstanceCounts": counts,
+        "InstanceCounts": state_counts,
         "Instances": instances,
-        "InstancesMore": more,
+        "InstancesMore": omitted,
     })
 }
 
-fn member(house: &House, now: Micros, member: &membership::Member, standing: &str) -> OwnedValue {
-    let part = match member.role {
+fn member_json(house: &House, now: Micros, member: &membership::Member, status: &str) -> OwnedValue {
+    let role = match member.role {
         Role::Gateway => "foyer",
         Role::ControlNode => "prompter",
     };
-    let here = house.board.index().0;
-    let behind = house.holds(member.address, RECENT_STATUS_WINDOW).map(|index| here.saturating_sub(index.0));
+    let own_index = house.board.index().0;
+    let behind =
+        house.holds(member.address, RECENT_STATUS_WINDOW).map(|index| own_index.saturating_sub(index.0));
     simd_json::json!({
-        "Name": member.name.clone(), "Place": member.address.to_string(), "Life": life(member.run_id), "Part": part,
-        "Zone": member.zone.clone(), "Standing": standing,
+        "Name": member.name.clone(), "Place": member.address.to_string(), "Life": run_id(member.run_id), "Part": role,
+        "Zone": member.zone.clone(), "Standing": status,
         "SinceS": house.company.status_since(member.address).map(|since| seconds(now - since)),
         "Behind": behind, "Program": member.version.program.to_string(),
         "OldestForm": member.version.formats.oldest.0, "NewestForm": member.version.formats.newest.0,
     })
 }
 
-/// A roll-out's state as it is written in answers.
+/// Name of a roll-out's state in responses.
 pub fn rollout_state(state: control_state::RolloutState) -> &'static str {
     match state {
         control_state::RolloutState::InProgress => "in_progress",
@@ -128,7 +129,7 @@
     }
 }
 
-fn trial(control: &Control, now: Micros, rollout: &control_state::Rollout) -> OwnedValue {
+fn rollout_json(control: &Control, now: Micros, rollout: &control_state::Rollout) -> OwnedValue {
     let votes = control.votes(now, &rollout.service).map(|votes| {
         simd_json::json!({
             "On": votes.promote_votes, "Back": votes.roll_back_votes, "Trial": votes.trial_outcomes, "TrialFailed": votes.trial_failures,
@@ -146,11 +147,11 @@
     })
 }
 
-fn instance(now: Micros, record: &registry::Instance) -> OwnedValue {
+fn instance_json(now: Micros, record: &registry::Instance) -> OwnedValue {
     simd_json::json!({
         "Id": record.id.0.clone(), "Service": record.service.clone(), "Address": record.address.to_string(),
         "Zone": record.zone.clone(), "Version": record.version.clone(), "Slots": record.slots,
-        "State": state(record.state), "SinceS": seconds(now - record.state_since),
+        "State": instance_state(record.state), "SinceS": seconds(now - record.state_since),
         "WarmupLeftS": seconds((record.warm_at - now).max(0)), "Keeper": record.owner.to_string(),
     })
 }
--- a/crates/playhouse/src/demo/client.rs
+++ b/crates/playhouse/src/demo/client.rs
@@ -1,5 +1,5 @@
-//! Audience (stand-in clients): one call over HTTP/1.1, and a crowd that asks at a rate through foyers that call
-//! themselves ready, tries again only where that is allowed, and counts what came of it.
+//! Simulated HTTP/1.1 clients: single calls, and a load generator that sends requests at a fixed rate through the
+//! gateways that report ready, retries only where that is allowed, and counts the outcomes.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -15,38 +15,38 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Bytes of an answer at most.
+/// Longest response body in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// Tries of one request at most, as clients of the system make them.
+/// Most attempts per request, as clients of the system make them.
 const MAX_ATTEMPTS: usize = 4;
-/// A pause before a further try where the answer names none.
+/// Delay before a retry if the response has no `Retry-After`.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// A foyer that misses its readiness so often gets no new connections.
-const UNREADY_PROBES: u32 = 2;
-/// Requests open at once; more are not begun, and count as failed.
+/// A gateway that fails this many readiness probes in a row gets no new connections.
+const MAX_FAILED_PROBES: u32 = 2;
+/// Most open requests; further requests are not sent and count as failed.
 const MAX_OPEN_REQUESTS: usize = 2_000;
 
-/// Locks what no holder leaves half-changed.
+/// Locks a mutex and ignores poisoning: no holder leaves its data half changed.
 pub fn lock<T>(what: &Mutex<T>) -> MutexGuard<'_, T> {
     what.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Why a call got no answer.
+/// Why a call got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     #[error("no connection to {0}: {1}")]
     Connect(SocketAddrV4, std::io::Error),
     #[error("{0} closed the connection before anything was sent")]
-    Unsent(SocketAddrV4),
+    NotSent(SocketAddrV4),
     #[error("the exchange with {0} broke off: {1}")]
     Broken(SocketAddrV4, Box<dyn std::error::Error + Send + Sync>),
     #[error("{0} did not answer in time")]
-    Silent(SocketAddrV4),
+    Timeout(SocketAddrV4),
     #[error("{0:?} can't be asked for")]
     Request(String),
 }
 
-/// A whole answer.
+/// A response with its whole body.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
     pub status: StatusCode,
@@ -55,7 +55,7 @@
 }
 
 impl HttpResponse {
-    /// A header's text; empty where there is none.
+    /// The value of a header, or an empty string.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
     }
@@ -65,14 +65,14 @@
     }
 }
 
-/// What is asked; `uri` is a path and perhaps a query.
+/// A request; `uri` is a path with an optional query.
 #[derive(Clone, Debug)]
 pub struct HttpRequest {
     pub method: Method,
     pub uri: String,
     pub headers: Vec<(String, String)>,
     pub body: Bytes,
-    /// The body goes out in chunks of this size instead of with a length.
+    /// If set, the body is sent in chunks of this size instead of with a `Content-Length`.
     pub chunks: Option<usize>,
 }
 
@@ -86,84 +86,87 @@
         self
     }
 
+    /// Sets a JSON body.
     pub fn json(mut self, body: impl Into<Bytes>) -> HttpRequest {
         self.body = body.into();
         self.with_header("Content-Type", "application/json")
     }
 }
 
-/// One client's connection.
+/// One client connection; dropping it closes it.
 pub struct Connection {
-    to: SocketAddrV4,
-    sender: SendRequest<Sent>,
+    address: SocketAddrV4,
+    sender: SendRequest<RequestBody>,
     task: JoinHandle<()>,
 }
 
-type Sent = http_body_util::combinators::UnsyncBoxBody<Bytes, std::convert::Infallible>;
+type RequestBody = http_body_util::combinators::UnsyncBoxBody<Bytes, std::convert::Infallible>;
 
 impl Drop for Connection {
-    /// The connection goes with whoever holds it.
+    /// Closes the connection.
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
 impl Connection {
-    pub async fn open(to: SocketAddrV4) -> Result<Connection, CallError> {
-        let stream = TcpStream::connect(to).await.map_err(|error| CallError::Connect(to, error))?;
+    /// Connects to an address and starts HTTP/1.1.
+    pub async fn open(address: SocketAddrV4) -> Result<Connection, CallError> {
+        let stream = TcpStream::connect(address).await.map_err(|error| CallError::Connect(address, error))?;
         let _ = stream.set_nodelay(true);
-        let shaken = Builder::new().handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(|error| CallError::Broken(to, error.into()))?;
+        let handshake = Builder::new().handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake.map_err(|error| CallError::Broken(address, error.into()))?;
         let task = tokio::spawn(async move {
             let _ = connection.await;
         });
-        Ok(Connection { to, sender, task })
+        Ok(Connection { address, sender, task })
     }
 
-    /// Whether another request can go out here.
+    /// Whether another request can be sent.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// Sends a request and takes the whole answer.
-    pub async fn send(&mut self, ask: &HttpRequest) -> Result<HttpResponse, CallError> {
-        let broken = |error: hyper::Error| CallError::Broken(self.to, error.into());
+    /// Sends a request and reads the whole response.
+    pub async fn send(&mut self, request: &HttpRequest) -> Result<HttpResponse, CallError> {
+        let broken = |error: hyper::Error| CallError::Broken(self.address, error.into());
         if self.sender.ready().await.is_err() {
-            return Err(CallError::Unsent(self.to));
+            return Err(CallError::NotSent(self.address));
         }
-        let request = request(self.to, ask)?;
+        let request = build_request(self.address, request)?;
         let response = match self.sender.try_send_request(request).await {
             Ok(response) => response,
             Err(mut error) => match error.take_message() {
-                Some(_) => return Err(CallError::Unsent(self.to)),
+                Some(_) => return Err(CallError::NotSent(self.address)),
                 None => return Err(broken(error.into_error())),
             },
         };
         let (head, body) = response.into_parts();
         let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
-        let body = body.map_err(|error| CallError::Broken(self.to, error))?.to_bytes();
+        let body = body.map_err(|error| CallError::Broken(self.address, error))?.to_bytes();
         Ok(HttpResponse { status: head.status, headers: head.headers, body })
     }
 }
 
-fn request(to: SocketAddrV4, ask: &HttpRequest) -> Result<Request<Sent>, CallError> {
-    let mut request = Request::builder().method(ask.method.clone()).uri(&ask.uri);
-    if !ask.headers.iter().any(|(name, _)| name.eq_ignore_ascii_case("host")) {
-        request = request.header(header::HOST, to.to_string());
+/// Builds the request; sets `Host` if it is missing.
+fn build_request(address: SocketAddrV4, call: &HttpRequest) -> Result<Request<RequestBody>, CallError> {
+    let mut request = Request::builder().method(call.method.clone()).uri(&call.uri);
+    if !call.headers.iter().any(|(name, _)| name.eq_ignore_ascii_case("host")) {
+        request = request.header(header::HOST, address.to_string());
     }
-    for (name, value) in &ask.headers {
+    for (name, value) in &call.headers {
         request = request.header(name, value);
     }
-    let body = match ask.chunks {
-        Some(size) => Chunks { left: ask.body.clone(), size: size.max(1) }.boxed_unsync(),
-        None => Full::new(ask.body.clone()).boxed_unsync(),
+    let body = match call.chunks {
+        Some(size) => Chunks { remaining: call.body.clone(), size: size.max(1) }.boxed_unsync(),
+        None => Full::new(call.body.clone()).boxed_unsync(),
     };
-    request.body(body).map_err(|_| CallError::Request(ask.uri.clone()))
+    request.body(body).map_err(|_| CallError::Request(call.uri.clone()))
 }
 
-/// A body of unknown length.
+/// A body of undeclared length, sent in chunks of `size` bytes.
 struct Chunks {
-    left: Bytes,
+    remaining: Bytes,
     size: usize,
 }
 
@@ -173,53 +176,55 @@
     fn poll_frame(
         mut self: std::pin::Pin<&mut Self>, _: &mut std::task::Context<'_>,
     ) -> std::task::Poll<Option<Result<hyper::body::Frame<Bytes>, Self::Error>>> {
-        let size = self.size.min(self.left.len());
-        let piece = self.left.split_to(size);
+        let size = self.size.min(self.remaining.len());
+        let piece = self.remaining.split_to(size);
         std::task::Poll::Ready((size > 0).then(|| Ok(hyper::body::Frame::data(piece))))
     }
 }
 
-/// One call on a connection of its own, over within `wait`.
-pub async fn call(to: SocketAddrV4, ask: &HttpRequest, wait: Duration) -> Result<HttpResponse, CallError> {
-    let exchange = async { Connection::open(to).await?.send(ask).await };
-    timeout(wait, exchange).await.unwrap_or(Err(CallError::Silent(to)))
+/// Sends one request on a new connection; fails after `wait`.
+pub async fn call(
+    address: SocketAddrV4, request: &HttpRequest, wait: Duration,
+) -> Result<HttpResponse, CallError> {
+    let exchange = async { Connection::open(address).await?.send(request).await };
+    timeout(wait, exchange).await.unwrap_or(Err(CallError::Timeout(address)))
 }
 
-/// What a crowd asks for.
+/// One kind of requests that a load generator sends.
 #[derive(Clone, Debug)]
 pub struct Workload {
     pub host: String,
     pub path: String,
     pub method: Method,
-    /// May be sent again after any failure.
+    /// Idempotent: may be retried after any failure.
     pub safe: bool,
-    /// How long a client waits.
+    /// How long a client waits for the response.
     pub timeout: Duration,
-    /// Bytes of a request's body.
+    /// Size of a request's body.
     pub body_bytes: usize,
-    /// Requests a second.
+    /// Rate at which requests are sent.
     pub requests_per_second: f64,
 }
 
-/// What became of one request, all of its tries together.
+/// Outcome of one request over all its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A success with the instance's seal, in time.
+    /// A successful response with the instance's `Server-Seal`, in time.
     Served,
-    /// The last word was a promise that it has not run.
+    /// The last response promised that the request did not run.
     Rejected,
     Failed,
 }
 
-/// Counts of a span of time.
+/// Outcome counts of a period.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub served: usize,
     pub rejected: usize,
     pub failed: usize,
-    /// From the first try to the whole answer, of those served.
+    /// Time from the first attempt to the whole response, of each served request.
     pub latencies: Vec<Duration>,
-    /// What the last try of a failed request came to, and how often.
+    /// How often the last attempt of a failed request ended with each failure.
     pub failures: HashMap<String, usize>,
 }
 
@@ -228,83 +233,88 @@
         self.served + self.rejected + self.failed
     }
 
-    /// The time that a share of those served did not exceed.
+    /// A latency quantile of the served requests.
     pub fn quantile(&self, share: f64) -> Option<Duration> {
-        let mut took = self.latencies.clone();
-        took.sort_unstable();
-        let at = (took.len() as f64 * share).ceil() as usize;
-        took.get(at.saturating_sub(1).min(took.len().checked_sub(1)?)).copied()
+        let mut sorted = self.latencies.clone();
+        sorted.sort_unstable();
+        let at = (sorted.len() as f64 * share).ceil() as usize;
+        sorted.get(at.saturating_sub(1).min(sorted.len().checked_sub(1)?)).copied()
     }
 
-    fn count(&mut self, end: Outcome, took: Duration, fault: String) {
-        match end {
+    fn count(&mut self, outcome: Outcome, latency: Duration, failure: String) {
+        match outcome {
             Outcome::Served => {
                 self.served += 1;
-                self.latencies.push(took);
+                self.latencies.push(latency);
             }
             Outcome::Rejected => self.rejected += 1,
             Outcome::Failed => {
                 self.failed += 1;
                 if self.failures.len() < 100 {
-                    *self.failures.entry(fault).or_default() += 1;
+                    *self.failures.entry(failure).or_default() += 1;
                 }
             }
         }
     }
 }
 
-/// The platform before the foyers: asks each whether it is ready, and hands clients to those that are.
+/// A load balancer in front of the gateways: probes their readiness and directs clients to those that are ready.
 pub struct LoadBalancer {
-    foyers: Vec<Foyer>,
+    gateways: Vec<GatewayState>,
     next: Mutex<usize>,
 }
 
-struct Foyer {
+/// A gateway and the number of its failed readiness probes in a row.
+struct GatewayState {
     frontend: SocketAddrV4,
     readiness: SocketAddrV4,
-    misses: Mutex<u32>,
+    failed_probes: Mutex<u32>,
 }
 
 impl LoadBalancer {
-    /// Pairs of frontend and readiness addresses; all count as out until they have answered.
-    pub fn new(foyers: Vec<(SocketAddrV4, SocketAddrV4)>) -> Arc<LoadBalancer> {
-        let foyer = |(frontend, readiness)| Foyer { frontend, readiness, misses: Mutex::new(UNREADY_PROBES) };
-        Arc::new(LoadBalancer { foyers: foyers.into_iter().map(foyer).collect(), next: Mutex::new(0) })
+    /// Takes pairs of frontend and readiness addresses. All gateways count as not ready until a probe succeeds.
+    pub fn new(gateways: Vec<(SocketAddrV4, SocketAddrV4)>) -> Arc<LoadBalancer> {
+        let gateway = |(frontend, readiness)| GatewayState {
+            frontend,
+            readiness,
+            failed_probes: Mutex::new(MAX_FAILED_PROBES),
+        };
+        Arc::new(LoadBalancer { gateways: gateways.into_iter().map(gateway).collect(), next: Mutex::new(0) })
     }
 
-    /// Asks all foyers once whether they are ready.
+    /// Probes the readiness of all gateways once.
     pub async fn probe(&self) {
-        for foyer in &self.foyers {
-            let answer = call(
-                foyer.readiness,
+        for gateway in &self.gateways {
+            let response = call(
+                gateway.readiness,
                 &HttpRequest::new(Method::GET, "/api/readiness"),
                 Duration::from_secs(1),
             )
             .await;
-            let ready = answer.is_ok_and(|answer| answer.status == StatusCode::OK);
-            let mut misses = lock(&foyer.misses);
-            *misses = if ready { 0 } else { *misses + 1 };
+            let ready = response.is_ok_and(|response| response.status == StatusCode::OK);
+            let mut failed_probes = lock(&gateway.failed_probes);
+            *failed_probes = if ready { 0 } else { *failed_probes + 1 };
         }
     }
 
-    /// How many foyers get clients.
+    /// Number of gateways that are ready.
     pub fn ready(&self) -> usize {
-        self.foyers.iter().filter(|foyer| *lock(&foyer.misses) < UNREADY_PROBES).count()
+        self.gateways.iter().filter(|gateway| *lock(&gateway.failed_probes) < MAX_FAILED_PROBES).count()
     }
 
-    /// A foyer for a new connection: in turn, of those that are in; of all where none is.
+    /// The gateway for a new connection: round robin over the ready ones, or over all if none is ready.
     pub fn pick(&self) -> SocketAddrV4 {
-        let all: Vec<&Foyer> = self.foyers.iter().collect();
-        let mut some = all.clone();
-        some.retain(|foyer| *lock(&foyer.misses) < UNREADY_PROBES);
-        let from = if some.is_empty() { all } else { some };
+        let all_gateways: Vec<&GatewayState> = self.gateways.iter().collect();
+        let mut candidates = all_gateways.clone();
+        candidates.retain(|gateway| *lock(&gateway.failed_probes) < MAX_FAILED_PROBES);
+        let eligible = if candidates.is_empty() { all_gateways } else { candidates };
         let mut next = lock(&self.next);
         *next += 1;
-        from[*next % from.len()].frontend
+        eligible[*next % eligible.len()].frontend
     }
 }
 
-/// Asks until it is dropped.
+/// Sends requests until it is dropped.
 pub struct LoadGenerator {
     counts: Arc<Mutex<Counts>>,
     task: JoinHandle<()>,
@@ -317,120 +327,133 @@
 }
 
 impl LoadGenerator {
-    /// Begins to ask for all kinds at their rates. Connections are kept and used again.
-    pub fn start(platform: Arc<LoadBalancer>, kinds: Vec<Workload>) -> LoadGenerator {
+    /// Starts to send requests of all workloads at their rates. Connections are kept alive and reused.
+    pub fn start(load_balancer: Arc<LoadBalancer>, workloads: Vec<Workload>) -> LoadGenerator {
         let counts: Arc<Mutex<Counts>> = Arc::default();
-        let all = counts.clone();
+        let shared_counts = counts.clone();
         let task = tokio::spawn(async move {
-            let mut askers = tokio::task::JoinSet::new();
-            askers.spawn({
-                let platform = platform.clone();
+            let mut tasks = tokio::task::JoinSet::new();
+            tasks.spawn({
+                let load_balancer = load_balancer.clone();
                 async move {
                     loop {
                         tokio::time::sleep(Duration::from_millis(250)).await;
-                        platform.probe().await;
+                        load_balancer.probe().await;
                     }
                 }
             });
-            for (number, kind) in kinds.into_iter().enumerate() {
-                askers.spawn(asks(number, kind, platform.clone(), all.clone()));
+            for (number, workload) in workloads.into_iter().enumerate() {
+                tasks.spawn(generate_load(number, workload, load_balancer.clone(), shared_counts.clone()));
             }
-            while askers.join_next().await.is_some() {}
+            while tasks.join_next().await.is_some() {}
         });
         LoadGenerator { counts, task }
     }
 
-    /// What has come of the requests that ended since this was asked last.
+    /// Outcomes of the requests that ended since the last call.
     pub fn counts(&self) -> Counts {
         std::mem::take(&mut *lock(&self.counts))
     }
 }
 
-async fn asks(number: usize, kind: Workload, platform: Arc<LoadBalancer>, counts: Arc<Mutex<Counts>>) {
-    let idle: Arc<Mutex<Vec<Connection>>> = Arc::default();
-    let mut ticks =
-        tokio::time::interval(Duration::from_secs_f64(1.0 / kind.requests_per_second.clamp(0.1, 10_000.0)));
+/// Sends the requests of one workload at its rate.
+async fn generate_load(
+    number: usize, workload: Workload, load_balancer: Arc<LoadBalancer>, counts: Arc<Mutex<Counts>>,
+) {
+    let idle_connections: Arc<Mutex<Vec<Connection>>> = Arc::default();
+    let mut ticks = tokio::time::interval(Duration::from_secs_f64(
+        1.0 / workload.requests_per_second.clamp(0.1, 10_000.0),
+    ));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut open = tokio::task::JoinSet::new();
+    let mut in_flight = tokio::task::JoinSet::new();
     for serial in 0u64.. {
         ticks.tick().await;
-        while open.try_join_next().is_some() {}
-        if open.len() >= MAX_OPEN_REQUESTS {
+        while in_flight.try_join_next().is_some() {}
+        if in_flight.len() >= MAX_OPEN_REQUESTS {
             lock(&counts).count(Outcome::Failed, Duration::ZERO, "too many open".to_owned());
             continue;
         }
-        let (kind, platform, counts, idle) = (kind.clone(), platform.clone(), counts.clone(), idle.clone());
-        open.spawn(async move {
-            let began = Instant::now();
-            let (end, fault) = request_of(&kind, number, serial, &platform, &idle).await;
-            lock(&counts).count(end, began.elapsed(), fault);
+        let (workload, load_balancer, counts, idle_connections) =
+            (workload.clone(), load_balancer.clone(), counts.clone(), idle_connections.clone());
+        in_flight.spawn(async move {
+            let started = Instant::now();
+            let (outcome, failure) =
+                send_with_retries(&workload, number, serial, &load_balancer, &idle_connections).await;
+            lock(&counts).count(outcome, started.elapsed(), failure);
         });
     }
 }
 
-/// One request with its further tries.
-async fn request_of(
-    kind: &Workload, number: usize, serial: u64, platform: &LoadBalancer, idle: &Mutex<Vec<Connection>>,
+/// Sends one request, with retries.
+async fn send_with_retries(
+    workload: &Workload, number: usize, serial: u64, load_balancer: &LoadBalancer,
+    idle_connections: &Mutex<Vec<Connection>>,
 ) -> (Outcome, String) {
-    let began = Instant::now();
-    let body = Bytes::from(vec![b'a' + (serial % 26) as u8; kind.body_bytes]);
-    let (mut end, mut fault) = (Outcome::Failed, "not begun".to_owned());
-    for number_of_try in 0..MAX_ATTEMPTS {
-        let Some(left) = kind.timeout.checked_sub(began.elapsed()).filter(|left| !left.is_zero()) else {
+    let started = Instant::now();
+    let body = Bytes::from(vec![b'a' + (serial % 26) as u8; workload.body_bytes]);
+    let (mut outcome, mut failure) = (Outcome::Failed, "not begun".to_owned());
+    for attempt in 0..MAX_ATTEMPTS {
+        let Some(time_left) =
+            workload.timeout.checked_sub(started.elapsed()).filter(|time_left| !time_left.is_zero())
+        else {
             break;
         };
-        let mut ask = HttpRequest::new(kind.method.clone(), &format!("{}{serial}", kind.path))
-            .with_header("Host", kind.host.clone())
-            .with_header("Attempt-Id", format!("{number:02x}{serial:012x}{number_of_try:02x}"))
-            .with_header("Remaining-Time", left.as_millis().to_string());
-        ask.body = body.clone();
-        let answer = timeout(left, one(&ask, number_of_try == 0, platform, idle)).await;
-        let pause = match answer {
+        let mut request = HttpRequest::new(workload.method.clone(), &format!("{}{serial}", workload.path))
+            .with_header("Host", workload.host.clone())
+            .with_header("Attempt-Id", format!("{number:02x}{serial:012x}{attempt:02x}"))
+            .with_header("Remaining-Time", time_left.as_millis().to_string());
+        request.body = body.clone();
+        let response =
+            timeout(time_left, send_once(&request, attempt == 0, load_balancer, idle_connections)).await;
+        let delay = match response {
             Err(_) => return (Outcome::Failed, "no answer in time".to_owned()),
             Ok(Err(error)) => {
-                (end, fault) = (Outcome::Failed, error.to_string());
-                let never_sent = matches!(error, CallError::Connect(..) | CallError::Unsent(_));
-                if !kind.safe && !never_sent {
+                (outcome, failure) = (Outcome::Failed, error.to_string());
+                let never_sent = matches!(error, CallError::Connect(..) | CallError::NotSent(_));
+                if !workload.safe && !never_sent {
                     break;
                 }
                 DEFAULT_RETRY_DELAY
             }
-            Ok(Ok(answer)) => {
-                let sealed = !answer.header("Server-Seal").is_empty();
-                let status = answer.status.as_u16();
-                fault = format!("status {status}");
-                end = match status {
-                    200..300 if sealed => return (Outcome::Served, String::new()),
+            Ok(Ok(response)) => {
+                let executed = !response.header("Server-Seal").is_empty();
+                let status = response.status.as_u16();
+                failure = format!("status {status}");
+                outcome = match status {
+                    200..300 if executed => return (Outcome::Served, String::new()),
                     429 | 503 | 408 | 421 => Outcome::Rejected,
                     _ => Outcome::Failed,
                 };
-                let over = matches!(status, 200..400 | 400 | 401 | 404 | 413 | 431);
-                if over || (end == Outcome::Failed && !kind.safe) {
+                let is_final = matches!(status, 200..400 | 400 | 401 | 404 | 413 | 431);
+                if is_final || (outcome == Outcome::Failed && !workload.safe) {
                     break;
                 }
-                let told = answer.header("Retry-After").parse::<f64>().ok();
-                let told = told.filter(|told| (0.0..60.0).contains(told)).map(Duration::from_secs_f64);
-                told.unwrap_or(DEFAULT_RETRY_DELAY)
+                let retry_after = response.header("Retry-After").parse::<f64>().ok();
+                let retry_after = retry_after
+                    .filter(|retry_after| (0.0..60.0).contains(retry_after))
+                    .map(Duration::from_secs_f64);
+                retry_after.unwrap_or(DEFAULT_RETRY_DELAY)
             }
         };
-        tokio::time::sleep(pause.min(left / 3)).await;
+        tokio::time::sleep(delay.min(time_left / 3)).await;
     }
-    (end, fault)
+    (outcome, failure)
 }
 
-/// One try: on an idle connection at first, on a new one later.
-async fn one(
-    ask: &HttpRequest, first: bool, platform: &LoadBalancer, idle: &Mutex<Vec<Connection>>,
+/// One attempt: the first on an idle connection if there is one, later ones on a new connection.
+async fn send_once(
+    request: &HttpRequest, first: bool, load_balancer: &LoadBalancer,
+    idle_connections: &Mutex<Vec<Connection>>,
 ) -> Result<HttpResponse, CallError> {
-    let kept = first.then(|| lock(idle).pop()).flatten().filter(Connection::is_open);
-    let mut line = match kept {
-        Some(line) => line,
-        None => Connection::open(platform.pick()).await?,
+    let reused = first.then(|| lock(idle_connections).pop()).flatten().filter(Connection::is_open);
+    let mut connection = match reused {
+        Some(connection) => connection,
+        None => Connection::open(load_balancer.pick()).await?,
     };
-    let answer = line.send(ask).await?;
-    let closes = answer.header("Connection").eq_ignore_ascii_case("close");
-    if !closes && line.is_open() {
-        lock(idle).push(line);
+    let response = connection.send(request).await?;
+    let closed_by_server = response.header("Connection").eq_ignore_ascii_case("close");
+    if !closed_by_server && connection.is_open() {
+        lock(idle_connections).push(connection);
     }
-    Ok(answer)
+    Ok(response)
 }
--- a/crates/playhouse/src/demo/cluster.rs
+++ b/crates/playhouse/src/demo/cluster.rs
@@ -1,5 +1,5 @@
-//! Stage (a fleet of real processes on loopback): starts, ends, kills and starts again nodes of the system, each with
-//! an address of its own, a settings file and, for prompters, a folder for its disk. All end with it.
+//! Test cluster of real processes on loopback: starts, stops, kills and restarts nodes of the system. Each node has its
+//! own address, a settings file and, for control nodes, a data directory. Dropping the cluster ends all its processes.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
@@ -13,68 +13,72 @@
 
 use crate::settings::SETTINGS_PATH_VARIABLE;
 
-/// The zones of a stage; nodes are dealt to them in turn.
+/// The zones of a cluster; nodes are assigned to them in turn.
 pub const ZONES: [&str; 3] = ["stalls-a", "stalls-b", "stalls-c"];
-/// Addresses of one stage's block, of which several may stand beside each other in one process.
-const BLOCK: u8 = 60;
-const FIRST: u8 = 10;
-const BLOCKS: u8 = 4;
-/// Where instances begin within a block, after all nodes.
-const INSTANCES: u8 = 20;
-/// A stage with more nodes than fit a block has a whole net of addresses to itself.
+/// Number of addresses in a cluster's block; several clusters of one process use different blocks.
+const BLOCK_SIZE: u8 = 60;
+/// Last byte of the first address of the first block.
+const FIRST_BLOCK_HOST: u8 = 10;
+/// Number of blocks per /24 network.
+const BLOCK_COUNT: u8 = 4;
+/// Offset of the first instance address within a block; node addresses come before it.
+const FIRST_INSTANCE: u8 = 20;
+/// Most gateways of a cluster. A cluster with more than 9 gateways uses a whole /24 network instead of a block.
 const MAX_GATEWAYS: usize = 200;
-const WIDE_FIRST: u8 = 2;
-const WIDE_INSTANCES: u8 = 215;
-const WIDE_LAST: u8 = 250;
-/// Sets of ports that are tried before a stage gives up.
-const PORT_SETS: u16 = 20;
-/// A process that has not gone so long after SIGKILL is stuck in the kernel; nothing more can be done to it.
-const KILLED: Duration = Duration::from_secs(5);
-
-static STAGES: AtomicU8 = AtomicU8::new(0);
-
-/// Why a stage can't be set up or a node can't be run.
+/// Last byte of the first address, and offsets of the first and the last instance, of a cluster that uses a whole network.
+const WIDE_FIRST_HOST: u8 = 2;
+const WIDE_FIRST_INSTANCE: u8 = 215;
+const WIDE_LAST_OFFSET: u8 = 250;
+/// Number of port sets that are tried before the set-up fails.
+const MAX_PORT_SETS: u16 = 20;
+/// Time to wait for a process after SIGKILL. One that still exists then is stuck in the kernel, and nothing more can
+/// be done about it.
+const KILL_TIMEOUT: Duration = Duration::from_secs(5);
+
+static CLUSTER_COUNT: AtomicU8 = AtomicU8::new(0);
+
+/// Why a cluster can't be set up or a node can't be run.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     #[error("{what} {path}: {error}")]
     File { what: &'static str, path: PathBuf, error: io::Error },
     #[error("{name} can't be started: {error}")]
     Start { name: String, error: io::Error },
-    #[error("{name} can't be told {signal}: {error}")]
+    #[error("{name} can't be sent {signal}: {error}")]
     Signal { name: String, signal: &'static str, error: io::Error },
     #[error("{name} can't be waited for: {error}")]
     Wait { name: String, error: io::Error },
     #[error("no ports are free on {address}: {error}")]
     Ports { address: Ipv4Addr, error: io::Error },
     #[error(
-        "{control_nodes} prompters and {gateways} foyers asked for; 1 to 9 and 1 to {MAX_GATEWAYS} can stand on a stage"
+        "{control_nodes} prompters and {gateways} foyers asked for; 1 to 9 and 1 to {MAX_GATEWAYS} are supported"
     )]
     Size { control_nodes: usize, gateways: usize },
 }
 
-/// The ports that all nodes of a stage use, each at its own address.
+/// The ports that all nodes of a cluster use, each at its own address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ports {
     pub frontend: u16,
     pub readiness: u16,
     pub control: u16,
-    /// The first of sixteen.
+    /// The first of sixteen ports for traffic between nodes.
     pub internal: u16,
 }
 
 impl Ports {
-    /// Below the range that the kernel hands out, so that no outgoing connection sits on one.
-    fn set(number: u16) -> Ports {
+    /// Ports below the kernel's ephemeral range, so that no outgoing connection occupies one.
+    fn numbered(number: u16) -> Ports {
         let base = 20_000 + 40 * number;
         Ports { frontend: base, readiness: base + 1, control: base + 2, internal: base + 10 }
     }
 }
 
-/// Names a node of a stage, in the order of setting up: prompters first.
+/// Index of a node in a cluster: control nodes first, then gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct NodeIndex(pub usize);
 
-/// Which loopback addresses a stage uses.
+/// The loopback addresses of a cluster.
 #[derive(Clone, Copy, Debug)]
 struct Addresses {
     net: [u8; 2],
@@ -84,22 +88,34 @@
 }
 
 impl Addresses {
-    /// Two runs at the same time have different process ids, so they don't meet.
-    fn of(pid: u32, block: u8, wide: bool) -> Addresses {
+    /// Derives the network from the process id, so that concurrent runs use different addresses.
+    fn allocate(pid: u32, block: u8, wide: bool) -> Addresses {
         let low = (pid % 250) as u8;
         if wide {
             let net = [251 + block, low];
-            return Addresses { net, first: WIDE_FIRST, next_instance: WIDE_INSTANCES, last: WIDE_LAST };
+            return Addresses {
+                net,
+                first: WIDE_FIRST_HOST,
+                next_instance: WIDE_FIRST_INSTANCE,
+                last: WIDE_LAST_OFFSET,
+            };
         }
         let net = [1 + (pid / 250 % 250) as u8, low];
-        Addresses { net, first: FIRST + block * BLOCK, next_instance: INSTANCES, last: BLOCK }
+        Addresses {
+            net,
+            first: FIRST_BLOCK_HOST + block * BLOCK_SIZE,
+            next_instance: FIRST_INSTANCE,
+            last: BLOCK_SIZE,
+        }
     }
 
+    /// The address at an offset.
     fn at(&self, number: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, self.net[0], self.net[1], self.first + number)
     }
 
-    fn instance(&mut self) -> Option<Ipv4Addr> {
+    /// The next unused instance address; `None` if none is left.
+    fn next_instance(&mut self) -> Option<Ipv4Addr> {
         let number = self.next_instance;
         self.next_instance = number.checked_add(1).filter(|next| *next <= self.last)?;
         Some(self.at(number))
@@ -109,26 +125,26 @@
 /// One node, running or not.
 #[derive(Debug)]
 struct Node {
-    part: Role,
+    role: Role,
     name: String,
     address: Ipv4Addr,
     child: Option<Child>,
 }
 
-/// How a stage is set up.
+/// Size and files of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
-    /// The system's program.
+    /// Path of the program that is run for each node.
     pub program: PathBuf,
     pub control_nodes: usize,
     pub gateways: usize,
-    /// Where files are kept; without it they go to the system's folder for passing files, and go with the stage.
+    /// Directory for settings, disks and logs. Default: a temporary directory, which is removed with the cluster.
     pub folder: Option<PathBuf>,
-    /// What the nodes log, as `RUST_LOG` has it.
+    /// `RUST_LOG` of the nodes.
     pub log: String,
 }
 
-/// Ends its nodes and removes its files when it is dropped, also where a test or the demonstration fails.
+/// A running cluster. Dropping it ends its nodes and removes its temporary files, also if a test fails.
 #[derive(Debug)]
 pub struct TestCluster {
     program: PathBuf,
@@ -141,102 +157,107 @@
 }
 
 impl TestCluster {
-    /// Sets up folders and settings; starts nothing yet.
-    pub fn create(plan: ClusterConfig) -> Result<TestCluster, ClusterError> {
-        if !(1..=9).contains(&plan.control_nodes) || !(1..=MAX_GATEWAYS).contains(&plan.gateways) {
-            return Err(ClusterError::Size { control_nodes: plan.control_nodes, gateways: plan.gateways });
+    /// Creates directories and settings files; starts no node.
+    pub fn create(config: ClusterConfig) -> Result<TestCluster, ClusterError> {
+        if !(1..=9).contains(&config.control_nodes) || !(1..=MAX_GATEWAYS).contains(&config.gateways) {
+            return Err(ClusterError::Size {
+                control_nodes: config.control_nodes,
+                gateways: config.gateways,
+            });
         }
         let pid = std::process::id();
-        let block = STAGES.fetch_add(1, Ordering::Relaxed) % BLOCKS;
-        let addresses = Addresses::of(pid, block, plan.gateways > 9);
+        let block = CLUSTER_COUNT.fetch_add(1, Ordering::Relaxed) % BLOCK_COUNT;
+        let addresses = Addresses::allocate(pid, block, config.gateways > 9);
         let at = |number: u8| addresses.at(number);
         let name = format!("garnetdoor-stage-{pid}-{block}");
-        let folder = plan.folder.clone().unwrap_or_else(|| std::env::temp_dir().join(name));
-        let file = |what, path: &Path| {
+        let folder = config.folder.clone().unwrap_or_else(|| std::env::temp_dir().join(name));
+        let file_error = |what, path: &Path| {
             let path = path.to_owned();
             move |error| ClusterError::File { what, path, error }
         };
-        if plan.folder.is_none() && folder.exists() {
-            // Left by a process that was killed and had this id before.
-            fs::remove_dir_all(&folder).map_err(file("can't clear", &folder))?;
+        if config.folder.is_none() && folder.exists() {
+            // Left behind by a killed process that had the same id.
+            fs::remove_dir_all(&folder).map_err(file_error("can't clear", &folder))?;
         }
-        fs::create_dir_all(&folder).map_err(file("can't make", &folder))?;
-        let mut stage = TestCluster {
-            program: plan.program,
+        fs::create_dir_all(&folder).map_err(file_error("can't make", &folder))?;
+        let mut cluster = TestCluster {
+            program: config.program,
             folder,
-            remove: plan.folder.is_none(),
-            log: plan.log,
+            remove: config.folder.is_none(),
+            log: config.log,
             nodes: Vec::new(),
             ports: free_ports(at(0))?,
             addresses,
         };
-        let parts =
-            [(Role::ControlNode, "prompter", plan.control_nodes), (Role::Gateway, "foyer", plan.gateways)];
-        for (part, name, count) in parts {
+        let roles = [
+            (Role::ControlNode, "prompter", config.control_nodes),
+            (Role::Gateway, "foyer", config.gateways),
+        ];
+        for (role, name, count) in roles {
             for number in 1..=count {
-                let (name, address) = (format!("{name}-{number}"), at(stage.nodes.len() as u8));
-                stage.nodes.push(Node { part, name, address, child: None });
+                let (name, address) = (format!("{name}-{number}"), at(cluster.nodes.len() as u8));
+                cluster.nodes.push(Node { role, name, address, child: None });
             }
         }
-        for number in 0..stage.nodes.len() {
-            stage.write_settings(NodeIndex(number), true)?;
+        for number in 0..cluster.nodes.len() {
+            cluster.write_settings(NodeIndex(number), true)?;
         }
-        Ok(stage)
+        Ok(cluster)
     }
 
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// The nodes that play a part, whether they run or not.
-    pub fn nodes(&self, part: Role) -> Vec<NodeIndex> {
-        (0..self.nodes.len()).filter(|n| self.nodes[*n].part == part).map(NodeIndex).collect()
+    /// The nodes with a role, whether they run or not.
+    pub fn nodes(&self, role: Role) -> Vec<NodeIndex> {
+        (0..self.nodes.len()).filter(|n| self.nodes[*n].role == role).map(NodeIndex).collect()
     }
 
     pub fn name(&self, node: NodeIndex) -> &str {
         &self.nodes[node.0].name
     }
 
-    /// Where clients reach a foyer.
+    /// Address at which clients reach a gateway.
     pub fn frontend(&self, node: NodeIndex) -> SocketAddrV4 {
         SocketAddrV4::new(self.nodes[node.0].address, self.ports.frontend)
     }
 
-    /// Where the platform asks a foyer whether it is ready.
+    /// Address of a gateway's readiness endpoint.
     pub fn readiness(&self, node: NodeIndex) -> SocketAddrV4 {
         SocketAddrV4::new(self.nodes[node.0].address, self.ports.readiness)
     }
 
-    /// Where operators and instances reach a prompter.
+    /// Address of a control node's control API.
     pub fn control(&self, node: NodeIndex) -> SocketAddrV4 {
         SocketAddrV4::new(self.nodes[node.0].address, self.ports.control)
     }
 
-    /// All prompters' addresses, in order.
+    /// Control addresses of all control nodes, in order.
     pub fn control_addresses(&self) -> Vec<SocketAddrV4> {
         self.nodes(Role::ControlNode).into_iter().map(|node| self.control(node)).collect()
     }
 
-    /// The prompter at an address.
+    /// The node at an address.
     pub fn node_at(&self, address: Ipv4Addr) -> Option<NodeIndex> {
         self.nodes.iter().position(|node| node.address == address).map(NodeIndex)
     }
 
-    /// An address for one more instance; `None` when the block is full.
+    /// An address for one more instance; `None` if none is left.
     pub fn instance_address(&mut self) -> Option<Ipv4Addr> {
-        self.addresses.instance()
+        self.addresses.next_instance()
     }
 
-    fn path(&self, node: NodeIndex, ending: &str) -> PathBuf {
-        self.folder.join(format!("{}{ending}", self.nodes[node.0].name))
+    fn path(&self, node: NodeIndex, suffix: &str) -> PathBuf {
+        self.folder.join(format!("{}{suffix}", self.nodes[node.0].name))
     }
 
-    fn write_settings(&self, number: NodeIndex, first: bool) -> Result<(), ClusterError> {
+    fn write_settings(&self, number: NodeIndex, initial_start: bool) -> Result<(), ClusterError> {
         let (node, ports) = (&self.nodes[number.0], self.ports);
         let (address, zone) = (node.address, ZONES[number.0 % ZONES.len()]);
         let seeds: Vec<String> =
             self.control_addresses().iter().take(3).map(|seed| format!("\"{seed}\"")).collect();
-        let (class, served, listen, disk) = match node.part {
+        let (machine_class, served_role, listen, data_directory_line) = match node.role {
             Role::Gateway => {
                 let listen = format!(
                     "Frontend = \"{address}:{}\"\nReadiness = \"{address}:{}\"",
@@ -258,10 +279,10 @@
         };
         let zones: String = ZONES.iter().map(|zone| format!("{zone} = \"stalls\"\n")).collect();
         let text = format!(
-            "NodeName = \"{name}\"\nRole = \"{class}\"\nMachineClass = \"{class}\"\nServedRoles = [\"{served}\"]\n\
+            "NodeName = \"{name}\"\nRole = \"{machine_class}\"\nMachineClass = \"{machine_class}\"\nServedRoles = [\"{served_role}\"]\n\
              IpAddress = \"{address}\"\nZone = \"{zone}\"\nRegion = \"stalls\"\n\
-             InternalPortRange = [{low}, {high}]\nSeedNodes = [{seeds}]\nInitialStart = {first}\n\
-             LossCounted = false\nDiscovery = \"registration\"\nEntry = \"virtual_ip\"\nHeartbeatS = 0.5\n{disk}\
+             InternalPortRange = [{low}, {high}]\nSeedNodes = [{seeds}]\nInitialStart = {initial_start}\n\
+             LossCounted = false\nDiscovery = \"registration\"\nEntry = \"virtual_ip\"\nHeartbeatS = 0.5\n{data_directory_line}\
              [Zones]\n{zones}[ListenAddresses]\n{listen}\n\
              [LimitSet]\nCpuShare = 0.2\nCpuCores = 1\nMemoryMb = 256\nFdLimit = 1024\nLinkMbps = 1000.0\n\
              [FaultTolerance]\nMachineLosses = 1\nZones = 0\nRegionLosses = 0\n\
@@ -277,7 +298,7 @@
         fs::write(&path, text).map_err(|error| ClusterError::File { what: "can't write", path, error })
     }
 
-    /// Starts a node that does not run; one that does is left alone.
+    /// Starts a node unless it is running.
     pub fn start(&mut self, number: NodeIndex) -> Result<(), ClusterError> {
         if self.is_running(number) {
             return Ok(());
@@ -289,12 +310,12 @@
         };
         let (out, err) =
             open(&path).map_err(|error| ClusterError::File { what: "can't open", path, error })?;
-        let verb = match self.nodes[number.0].part {
+        let subcommand = match self.nodes[number.0].role {
             Role::Gateway => "foyer",
             Role::ControlNode => "prompter",
         };
         let child = Command::new(&self.program)
-            .arg(verb)
+            .arg(subcommand)
             .env(SETTINGS_PATH_VARIABLE, self.path(number, ".toml"))
             .env("RUST_LOG", &self.log)
             .stdin(Stdio::null())
@@ -306,18 +327,18 @@
         Ok(())
     }
 
-    /// Starts every node that does not run.
+    /// Starts every node that is not running.
     pub fn start_all(&mut self) -> Result<(), ClusterError> {
         (0..self.nodes.len()).try_for_each(|number| self.start(NodeIndex(number)))
     }
 
-    /// Whether a node's process is there; one that has ended by itself is not.
+    /// Whether a node's process is running.
     pub fn is_running(&mut self, number: NodeIndex) -> bool {
         matches!(self.exit_status(number), Ok(None))
     }
 
-    /// How a node's process has ended; `None` while it runs. One that was never started, or was taken away by
-    /// `kill`, is an error.
+    /// Exit status of a node's process; `None` while it runs. It is an error if the node was never started or was killed
+    /// by `kill`.
     pub fn exit_status(&mut self, number: NodeIndex) -> Result<Option<ExitStatus>, ClusterError> {
         let node = &mut self.nodes[number.0];
         let wait = |error| ClusterError::Wait { name: node.name.clone(), error };
@@ -327,49 +348,49 @@
         }
     }
 
-    /// The process of a node, while it runs or has not been looked at since.
+    /// Process id of a node that was started and not killed; the process may have ended by itself.
     pub fn pid(&self, number: NodeIndex) -> Option<u32> {
         self.nodes[number.0].child.as_ref().map(Child::id)
     }
 
-    /// SIGKILL, at once and without a farewell; the disk stays. The settings say from now on that this is no first
-    /// start of the whole system.
+    /// Sends SIGKILL and waits for the end; the disk stays. The settings no longer mark the next start as the initial
+    /// start of the system.
     pub fn kill(&mut self, number: NodeIndex) -> Result<(), ClusterError> {
         let node = &mut self.nodes[number.0];
         if let Some(mut child) = node.child.take() {
-            let told = child.kill().and_then(|()| child.wait());
-            told.map_err(|error| ClusterError::Wait { name: node.name.clone(), error })?;
+            let result = child.kill().and_then(|()| child.wait());
+            result.map_err(|error| ClusterError::Wait { name: node.name.clone(), error })?;
         }
         self.write_settings(number, false)
     }
 
-    /// SIGTERM: the node ends in order, which `ended` tells.
+    /// Sends SIGTERM for an orderly shutdown; `exit_status` tells when it is complete.
     pub fn terminate(&mut self, number: NodeIndex) -> Result<(), ClusterError> {
-        self.tell(number, "TERM")
+        self.signal(number, "TERM")
     }
 
-    /// SIGHUP: the settings file has changed.
+    /// Sends SIGHUP, which makes the node reload its settings file.
     pub fn reload(&mut self, number: NodeIndex) -> Result<(), ClusterError> {
-        self.tell(number, "HUP")
+        self.signal(number, "HUP")
     }
 
-    /// The standard library sends no signal but SIGKILL, so the system's own program for it does.
-    fn tell(&mut self, number: NodeIndex, signal: &'static str) -> Result<(), ClusterError> {
-        let runs = self.is_running(number);
+    /// Sends a signal with `kill(1)`, because the standard library offers only SIGKILL.
+    fn signal(&mut self, number: NodeIndex, signal: &'static str) -> Result<(), ClusterError> {
+        let running = self.is_running(number);
         let node = &self.nodes[number.0];
-        let failed = |error| ClusterError::Signal { name: node.name.clone(), signal, error };
-        let Some(child) = node.child.as_ref().filter(|_| runs) else {
-            return Err(failed(io::Error::other("it does not run")));
+        let signal_error = |error| ClusterError::Signal { name: node.name.clone(), signal, error };
+        let Some(child) = node.child.as_ref().filter(|_| running) else {
+            return Err(signal_error(io::Error::other("it does not run")));
         };
         let status = Command::new("kill")
             .args([format!("-{signal}"), child.id().to_string()])
             .stdin(Stdio::null())
             .status()
-            .map_err(failed)?;
-        if status.success() { Ok(()) } else { Err(failed(io::Error::other(status.to_string()))) }
+            .map_err(signal_error)?;
+        if status.success() { Ok(()) } else { Err(signal_error(io::Error::other(status.to_string()))) }
     }
 
-    /// The end of each node's log, for a report of what went wrong.
+    /// The last lines of each node's log, for failure reports.
     pub fn logs(&self, lines: usize) -> String {
         let mut all = String::new();
         for number in 0..self.nodes.len() {
@@ -385,7 +406,7 @@
 }
 
 impl Drop for TestCluster {
-    /// Ends all nodes by their process ids; a folder of its own goes too.
+    /// Kills all nodes and removes a temporary directory.
     fn drop(&mut self) {
         for node in &mut self.nodes {
             if let Some(child) = &mut node.child {
@@ -395,7 +416,7 @@
         for node in &mut self.nodes {
             let Some(child) = &mut node.child else { continue };
             let since = Instant::now();
-            while matches!(child.try_wait(), Ok(None)) && since.elapsed() < KILLED {
+            while matches!(child.try_wait(), Ok(None)) && since.elapsed() < KILL_TIMEOUT {
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
@@ -405,11 +426,11 @@
     }
 }
 
-/// A set of ports that nobody has taken on all addresses.
+/// The first port set of which every port is free at `address`.
 fn free_ports(address: Ipv4Addr) -> Result<Ports, ClusterError> {
     let mut last = io::Error::other("none tried");
-    for number in 0..PORT_SETS {
-        let ports = Ports::set(number);
+    for number in 0..MAX_PORT_SETS {
+        let ports = Ports::numbered(number);
         let all = [ports.frontend, ports.readiness, ports.control, ports.internal];
         match all.iter().try_for_each(|port| TcpListener::bind((address, *port)).map(drop)) {
             Ok(()) => return Ok(ports),
--- a/crates/playhouse/src/demo/fault_injection.rs
+++ b/crates/playhouse/src/demo/fault_injection.rs
@@ -1,6 +1,6 @@
-//! Unrest (for soaks of real processes): a fleet on a stage whose configuration changes while its nodes are told to end,
-//! reloaded, killed and started again, drawn from a seed. Clients keep using their open connections until the process is
-//! gone. It brings trouble about and tells what was seen; what is to hold, a test judges.
+//! Fault injection for soak tests of real processes: a cluster whose configuration changes while its nodes are
+//! terminated, reloaded, killed and restarted at random, from a seed. Clients keep using their open connections until the
+//! process is gone. This module injects faults and records observations; tests check the guarantees.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddrV4;
@@ -16,85 +16,91 @@
 use super::instance::{Instance, InstanceConfig, RequestLog};
 use super::operator::{Operator, Route, configuration_change, full_configuration};
 
-/// So many of the latest versions' routes are kept; older ones are taken away as new ones come.
+/// Number of latest versions whose routes are retained; each new version removes the oldest route.
 pub const RETAINED_VERSIONS: u32 = 3;
 
 const HOST: &str = "soak.example";
 const SERVICE: &str = "proofs";
-const PROMPTERS: usize = 3;
+const CONTROL_NODES: usize = 3;
 const INSTANCES: usize = 4;
-const SLOTS: usize = 64;
-const WORK: Duration = Duration::from_millis(2);
-/// An answer that takes longer counts as none.
-const ANSWER_WITHIN: Duration = Duration::from_secs(3);
-/// Between two kills of control machines.
+const SLOTS_PER_INSTANCE: usize = 64;
+const SERVICE_TIME: Duration = Duration::from_millis(2);
+/// A response that takes longer counts as missing.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Least time between two kills of control nodes.
 const MIN_CONTROL_KILL_INTERVAL: Duration = Duration::from_secs(6);
 const ORDERS_PER_SECOND: f64 = 40.0;
 const ORDER_BYTES: usize = 2_000;
 
-/// Why a fleet can't be set up, or a node not be disturbed.
+/// Why the cluster can't be set up or a fault can't be injected.
 #[derive(Debug, thiserror::Error)]
 pub enum FaultInjectionError {
     #[error(transparent)]
-    TestCluster(#[from] ClusterError),
+    Cluster(#[from] ClusterError),
     #[error("the first configuration was not taken: {0}")]
     Configuration(String),
     #[error("an instance can't be started: {0}")]
     Instance(String),
 }
 
-/// A gateway's process, as its clients see it.
+/// A gateway process, as its clients see it.
 pub struct Gateway {
     pub node: NodeIndex,
-    to: SocketAddrV4,
-    /// One connection, used until it is gone.
-    line: Option<Connection>,
-    /// When this life began.
+    address: SocketAddrV4,
+    /// The clients' connection, used until it breaks.
+    connection: Option<Connection>,
+    /// Start time of the current process.
     pub since: Instant,
-    /// It was told to end, and is started again once it is gone.
+    /// SIGTERM was sent; the gateway is restarted once its process has ended.
     pub terminating: bool,
 }
 
-/// The fleet, and what was done to it.
+/// The cluster, and the changes and faults so far.
 pub struct FaultInjector {
-    pub stage: TestCluster,
-    pub record: RequestLog,
+    pub cluster: TestCluster,
+    pub request_log: RequestLog,
     pub gateways: Vec<Gateway>,
-    /// The newest version that was acknowledged, and when each was.
+    /// The newest acknowledged version.
     pub version: u32,
+    /// Time of acknowledgement of each version.
     pub acknowledged: HashMap<u32, Instant>,
-    /// When a control machine was disturbed last.
+    /// Time of the last fault injected into a control node.
     pub control_disturbed_at: Instant,
-    /// Gateways that were killed at least once, by the address that their clients know.
+    /// Frontend addresses of the gateways that were killed at least once.
     pub killed: BTreeSet<SocketAddrV4>,
     operator: Operator,
     instances: Vec<Instance>,
-    rand: Rand64,
-    asked: u64,
+    rng: Rand64,
+    requests_sent: u64,
 }
 
 impl FaultInjector {
-    /// Starts a fleet of the program with so many gateways, a first configuration and instances.
+    /// Starts a cluster with the given number of gateways, a first configuration and instances.
     pub async fn start(
         program: PathBuf, seed: u64, gateways: usize,
     ) -> Result<FaultInjector, FaultInjectionError> {
-        let plan = cluster::ClusterConfig {
+        let config = cluster::ClusterConfig {
             program,
-            control_nodes: PROMPTERS,
+            control_nodes: CONTROL_NODES,
             gateways,
             folder: None,
             log: "info".into(),
         };
-        let mut stage = TestCluster::create(plan)?;
-        stage.start_all()?;
+        let mut cluster = TestCluster::create(config)?;
+        cluster.start_all()?;
         let now = Instant::now();
-        let gateway =
-            |node| Gateway { node, to: stage.frontend(node), line: None, since: now, terminating: false };
-        let gateways = stage.nodes(Role::Gateway).into_iter().map(gateway).collect();
-        let operator = Operator::new(stage.control_addresses());
+        let gateway = |node| Gateway {
+            node,
+            address: cluster.frontend(node),
+            connection: None,
+            since: now,
+            terminating: false,
+        };
+        let gateways = cluster.nodes(Role::Gateway).into_iter().map(gateway).collect();
+        let operator = Operator::new(cluster.control_addresses());
         let mut injector = FaultInjector {
-            stage,
-            record: RequestLog::default(),
+            cluster,
+            request_log: RequestLog::default(),
             gateways,
             version: 1,
             acknowledged: HashMap::new(),
@@ -102,104 +108,109 @@
             killed: BTreeSet::new(),
             operator,
             instances: Vec::new(),
-            rand: Rand64::new(u128::from(seed)),
-            asked: 0,
+            rng: Rand64::new(u128::from(seed)),
+            requests_sent: 0,
         };
         injector.configure().await?;
         for number in 0..INSTANCES {
-            injector.enter(number).await?;
+            injector.start_instance(number).await?;
         }
         Ok(injector)
     }
 
     async fn configure(&mut self) -> Result<(), FaultInjectionError> {
-        let routes = [added(1), Route::new("order", HOST, "/order/", "unsafe", SERVICE)];
+        let routes = [route_of_version(1), Route::new("order", HOST, "/order/", "unsafe", SERVICE)];
         match self.operator.replace(0, 0, &full_configuration(1, &routes, &[SERVICE])).await {
-            Ok(answer) if answer.status == StatusCode::OK => {
+            Ok(response) if response.status == StatusCode::OK => {
                 self.acknowledged.insert(1, Instant::now());
                 Ok(())
             }
-            Ok(answer) => Err(FaultInjectionError::Configuration(answer.text())),
+            Ok(response) => Err(FaultInjectionError::Configuration(response.text())),
             Err(error) => Err(FaultInjectionError::Configuration(error.to_string())),
         }
     }
 
-    async fn enter(&mut self, number: usize) -> Result<(), FaultInjectionError> {
+    async fn start_instance(&mut self, number: usize) -> Result<(), FaultInjectionError> {
         let mut plan = InstanceConfig::new(&format!("i-{number}"), SERVICE, "v1");
-        (plan.service_time, plan.slots) = (WORK, SLOTS);
+        (plan.service_time, plan.slots) = (SERVICE_TIME, SLOTS_PER_INSTANCE);
         plan.zone = ZONES[number % ZONES.len()].to_owned();
-        let full = || FaultInjectionError::Instance("no address is left".to_owned());
-        let address = SocketAddrV4::new(self.stage.instance_address().ok_or_else(full)?, 8080);
-        let one = Instance::start(plan, address, self.stage.control_addresses(), self.record.clone()).await;
-        self.instances.push(one.map_err(|error| FaultInjectionError::Instance(error.to_string()))?);
+        let no_address = || FaultInjectionError::Instance("no address is left".to_owned());
+        let address = SocketAddrV4::new(self.cluster.instance_address().ok_or_else(no_address)?, 8080);
+        let instance =
+            Instance::start(plan, address, self.cluster.control_addresses(), self.request_log.clone()).await;
+        self.instances.push(instance.map_err(|error| FaultInjectionError::Instance(error.to_string()))?);
         Ok(())
     }
 
-    /// A number below a bound, by the seed.
+    /// A random number below a bound, from the seeded generator.
     pub fn random_below(&mut self, below: usize) -> usize {
-        self.rand.rand_range(0..below as u64) as usize
+        self.rng.rand_range(0..below as u64) as usize
     }
 
-    /// What a gateway answers to a request on a version's route, on its open connection as long as that is there.
-    pub async fn request_status(&mut self, at: usize, version: u32) -> Option<StatusCode> {
-        self.asked += 1;
-        let attempt = format!("{:016x}", 0x50a4_0000_0000_0000_u64 + self.asked);
-        let ask = HttpRequest::new(Method::GET, &format!("/v{version}/x"));
-        let ask = ask
+    /// Status of a gateway's response to a request on a version's route. Reuses the open connection as long as it lasts.
+    pub async fn request_status(&mut self, index: usize, version: u32) -> Option<StatusCode> {
+        self.requests_sent += 1;
+        let attempt = format!("{:016x}", 0x50a4_0000_0000_0000_u64 + self.requests_sent);
+        let request = HttpRequest::new(Method::GET, &format!("/v{version}/x"));
+        let request = request
             .with_header("Host", HOST)
             .with_header("Attempt-Id", attempt)
             .with_header("Remaining-Time", "2000");
-        let gateway = &mut self.gateways[at];
-        if gateway.line.as_ref().is_none_or(|line| !line.is_open()) {
-            gateway.line = Connection::open(gateway.to).await.ok();
+        let gateway = &mut self.gateways[index];
+        if gateway.connection.as_ref().is_none_or(|connection| !connection.is_open()) {
+            gateway.connection = Connection::open(gateway.address).await.ok();
         }
-        let line = gateway.line.as_mut()?;
-        let answer = tokio::time::timeout(ANSWER_WITHIN, line.send(&ask)).await;
-        let status = answer.ok().and_then(Result::ok).map(|answer| answer.status);
+        let connection = gateway.connection.as_mut()?;
+        let response = tokio::time::timeout(RESPONSE_TIMEOUT, connection.send(&request)).await;
+        let status = response.ok().and_then(Result::ok).map(|response| response.status);
         if status.is_none() {
-            gateway.line = None;
+            gateway.connection = None;
         }
         status
     }
 
-    /// The next version adds a route and takes away an old one. Anything but an acknowledgement is told.
+    /// Applies the next version, which adds a route and removes an old one. Any other result than an acknowledgement is an
+    /// error.
     pub async fn change(&mut self) -> Result<(), String> {
         let next = self.version + 1;
-        let old = next.checked_sub(RETAINED_VERSIONS).filter(|old| *old >= 1).map(|old| format!("r{old}"));
-        let remove: Vec<&str> = old.iter().map(String::as_str).collect();
-        let text = configuration_change(next, &[added(next)], &remove);
-        let first = self.random_below(PROMPTERS);
+        let retired = next
+            .checked_sub(RETAINED_VERSIONS)
+            .filter(|retired| *retired >= 1)
+            .map(|retired| format!("r{retired}"));
+        let remove: Vec<&str> = retired.iter().map(String::as_str).collect();
+        let text = configuration_change(next, &[route_of_version(next)], &remove);
+        let first = self.random_below(CONTROL_NODES);
         match self.operator.modify(first, self.version, &text).await {
-            Ok(answer) if answer.status == StatusCode::OK => {
+            Ok(response) if response.status == StatusCode::OK => {
                 self.version = next;
                 self.acknowledged.insert(next, Instant::now());
                 Ok(())
             }
-            Ok(answer) => Err(format!("version {next}: {} {}", answer.status, answer.text())),
+            Ok(response) => Err(format!("version {next}: {} {}", response.status, response.text())),
             Err(error) => Err(format!("version {next}: {error}")),
         }
     }
 
-    /// One signal, or none, to one gateway or control machine.
+    /// Sends one signal, or none, to a random gateway or control node.
     pub fn inject_random(&mut self) -> Result<(), FaultInjectionError> {
-        let at = self.random_below(self.gateways.len());
-        let core = self.stage.nodes(Role::ControlNode)[self.random_below(PROMPTERS)];
-        let Gateway { node, terminating, .. } = self.gateways[at];
+        let index = self.random_below(self.gateways.len());
+        let control_node = self.cluster.nodes(Role::ControlNode)[self.random_below(CONTROL_NODES)];
+        let Gateway { node, terminating, .. } = self.gateways[index];
         match self.random_below(10) {
-            0..=2 if !terminating => self.stage.reload(node)?,
+            0..=2 if !terminating => self.cluster.reload(node)?,
             3..=5 if !terminating => {
-                self.stage.terminate(node)?;
-                self.gateways[at].terminating = true;
+                self.cluster.terminate(node)?;
+                self.gateways[index].terminating = true;
             }
             6 if !terminating => {
-                self.stage.kill(node)?;
-                self.killed.insert(self.gateways[at].to);
-                self.start_again(at)?;
+                self.cluster.kill(node)?;
+                self.killed.insert(self.gateways[index].address);
+                self.restart(index)?;
             }
-            7 => self.stage.reload(core)?,
+            7 => self.cluster.reload(control_node)?,
             8 if self.control_disturbed_at.elapsed() > MIN_CONTROL_KILL_INTERVAL => {
-                self.stage.kill(core)?;
-                self.stage.start(core)?;
+                self.cluster.kill(control_node)?;
+                self.cluster.start(control_node)?;
                 self.control_disturbed_at = Instant::now();
             }
             _ => {}
@@ -207,28 +218,29 @@
         Ok(())
     }
 
-    /// Those that have ended in order are started again.
+    /// Restarts the gateways that have ended after SIGTERM.
     pub fn restart_ended(&mut self) -> Result<(), FaultInjectionError> {
-        for at in 0..self.gateways.len() {
-            if self.gateways[at].terminating && !self.stage.is_running(self.gateways[at].node) {
-                self.start_again(at)?;
+        for index in 0..self.gateways.len() {
+            if self.gateways[index].terminating && !self.cluster.is_running(self.gateways[index].node) {
+                self.restart(index)?;
             }
         }
         Ok(())
     }
 
-    fn start_again(&mut self, at: usize) -> Result<(), FaultInjectionError> {
-        let gateway = &mut self.gateways[at];
-        self.stage.start(gateway.node)?;
-        (gateway.since, gateway.terminating, gateway.line) = (Instant::now(), false, None);
+    fn restart(&mut self, index: usize) -> Result<(), FaultInjectionError> {
+        let gateway = &mut self.gateways[index];
+        self.cluster.start(gateway.node)?;
+        (gateway.since, gateway.terminating, gateway.connection) = (Instant::now(), false, None);
         Ok(())
     }
 
-    /// Clients that send orders, which may run once only, through whichever gateways are ready.
+    /// Starts clients that send orders, which must not run twice, through the gateways that are ready.
     pub fn start_load(&self) -> LoadGenerator {
-        let doors = self.gateways.iter();
-        let doors = doors.map(|gateway| (gateway.to, self.stage.readiness(gateway.node))).collect();
-        let orders = Workload {
+        let endpoints = self.gateways.iter();
+        let endpoints =
+            endpoints.map(|gateway| (gateway.address, self.cluster.readiness(gateway.node))).collect();
+        let workload = Workload {
             host: HOST.to_owned(),
             path: "/order/".to_owned(),
             method: Method::POST,
@@ -237,11 +249,11 @@
             body_bytes: ORDER_BYTES,
             requests_per_second: ORDERS_PER_SECOND,
         };
-        LoadGenerator::start(LoadBalancer::new(doors), vec![orders])
+        LoadGenerator::start(LoadBalancer::new(endpoints), vec![workload])
     }
 }
 
 /// The route that a version adds.
-fn added(version: u32) -> Route {
+fn route_of_version(version: u32) -> Route {
     Route::new(&format!("r{version}"), HOST, &format!("/v{version}/"), "safe", SERVICE)
 }
--- a/crates/playhouse/src/demo/operator.rs
+++ b/crates/playhouse/src/demo/operator.rs
@@ -1,5 +1,5 @@
-//! Stage-manager (stand-in operator): sends configurations and roll-outs as operators do, goes on to another prompter
-//! where one fails, and reads back what holds.
+//! Client of the control API, as operators use it: sends configurations and roll-outs, retries at another control node if
+//! one fails, and reads back what is in force.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -11,14 +11,15 @@
 
 use super::client::{CallError, HttpRequest, HttpResponse, call};
 
-/// Redirections that are followed.
+/// Number of redirects that are followed.
 const MAX_REDIRECTS: usize = 2;
-/// One second of silence, and the caller goes on to another prompter.
+/// A control node that doesn't respond for this long is skipped for the next one.
 const NODE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before the first retry; it doubles up to [`MAX_RETRY_DELAY`].
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A call that had no clear answer in its time.
+/// A call that got no clear response before its timeout.
 #[derive(Debug, thiserror::Error)]
 #[error("no clear answer after {:.1} s; the last: {last}", after.as_secs_f64())]
 pub struct NoClearAnswer {
@@ -26,36 +27,36 @@
     pub last: String,
 }
 
-/// Asks at an address and follows 307 twice, all within `wait`.
+/// Sends a request and follows up to two 307 redirects, all within `wait`.
 pub async fn call_following_redirects(
-    at: SocketAddrV4, ask: &HttpRequest, wait: Duration,
+    at: SocketAddrV4, request: &HttpRequest, wait: Duration,
 ) -> Result<HttpResponse, CallError> {
-    let began = Instant::now();
-    let (mut at, mut ask) = (at, ask.clone());
+    let started = Instant::now();
+    let (mut at, mut request) = (at, request.clone());
     for _ in 0..MAX_REDIRECTS {
-        let answer = call(at, &ask, wait.saturating_sub(began.elapsed())).await?;
-        if answer.status != StatusCode::TEMPORARY_REDIRECT {
-            return Ok(answer);
+        let response = call(at, &request, wait.saturating_sub(started.elapsed())).await?;
+        if response.status != StatusCode::TEMPORARY_REDIRECT {
+            return Ok(response);
         }
-        let Some((next, uri)) = parse_location(answer.header("Location")) else { return Ok(answer) };
-        (at, ask.uri) = (next, uri);
+        let Some((next, uri)) = parse_location(response.header("Location")) else { return Ok(response) };
+        (at, request.uri) = (next, uri);
     }
-    call(at, &ask, wait.saturating_sub(began.elapsed())).await
+    call(at, &request, wait.saturating_sub(started.elapsed())).await
 }
 
-/// `http://10.0.0.4:8080/path` as an address and what is asked for there.
+/// Splits `http://10.0.0.4:8080/path` into address and path.
 pub fn parse_location(text: &str) -> Option<(SocketAddrV4, String)> {
     let rest = text.strip_prefix("http://")?;
-    let cut = rest.find('/').unwrap_or(rest.len());
-    let path = if cut == rest.len() { "/" } else { &rest[cut..] };
-    Some((rest[..cut].parse().ok()?, path.to_owned()))
+    let path_start = rest.find('/').unwrap_or(rest.len());
+    let path = if path_start == rest.len() { "/" } else { &rest[path_start..] };
+    Some((rest[..path_start].parse().ok()?, path.to_owned()))
 }
 
-/// An operator with a list of prompters.
+/// A client with a list of control nodes.
 #[derive(Clone, Debug)]
 pub struct Operator {
     pub control_nodes: Vec<SocketAddrV4>,
-    /// How long one call is tried for.
+    /// How long one call is retried.
     pub timeout: Duration,
 }
 
@@ -64,50 +65,52 @@
         Operator { control_nodes, timeout: Duration::from_secs(20) }
     }
 
-    /// Calls one prompter after the other, from `first` on, until one gives a clear answer.
-    pub async fn send(&self, first: usize, ask: &HttpRequest) -> Result<HttpResponse, NoClearAnswer> {
-        let began = Instant::now();
-        let mut pause = MIN_RETRY_DELAY;
-        let mut last = "nobody was asked".to_owned();
-        for number in first.. {
-            let Some(at) = self.control_nodes.get(number % self.control_nodes.len().max(1)) else { break };
-            // The last one asked, too, gets some time.
-            let left = self.timeout.saturating_sub(began.elapsed()).clamp(MAX_RETRY_DELAY, NODE_TIMEOUT);
-            match call_following_redirects(*at, ask, left).await {
-                Ok(answer) if clear(answer.status) => return Ok(answer),
-                Ok(answer) => last = format!("{at}: {} {}", answer.status, answer.text()),
-                Err(error) => last = error.to_string(),
+    /// Calls one control node after the other, starting with index `first`, until one gives a clear response.
+    pub async fn send(&self, first: usize, request: &HttpRequest) -> Result<HttpResponse, NoClearAnswer> {
+        let started = Instant::now();
+        let mut delay = MIN_RETRY_DELAY;
+        let mut last_failure = "nobody was asked".to_owned();
+        for index in first.. {
+            let Some(at) = self.control_nodes.get(index % self.control_nodes.len().max(1)) else { break };
+            // The last node that is tried gets some time, too.
+            let time_left =
+                self.timeout.saturating_sub(started.elapsed()).clamp(MAX_RETRY_DELAY, NODE_TIMEOUT);
+            match call_following_redirects(*at, request, time_left).await {
+                Ok(response) if is_clear(response.status) => return Ok(response),
+                Ok(response) => last_failure = format!("{at}: {} {}", response.status, response.text()),
+                Err(error) => last_failure = error.to_string(),
             }
-            if began.elapsed() + pause >= self.timeout {
+            if started.elapsed() + delay >= self.timeout {
                 break;
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(MAX_RETRY_DELAY);
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
-        Err(NoClearAnswer { after: began.elapsed(), last })
+        Err(NoClearAnswer { after: started.elapsed(), last: last_failure })
     }
 
-    fn change(call: &str, base: u32, text: &str) -> HttpRequest {
-        HttpRequest::new(Method::POST, &format!("/api/Configuration.{call}"))
+    fn change_request(operation: &str, base: u32, text: &str) -> HttpRequest {
+        HttpRequest::new(Method::POST, &format!("/api/Configuration.{operation}"))
             .with_header("Base-Version", format!("{base:08x}"))
             .json(text.to_owned())
     }
 
-    /// A complete configuration on top of a version.
+    /// Replaces the configuration, if `base` is the version in force.
     pub async fn replace(&self, first: usize, base: u32, text: &str) -> Result<HttpResponse, NoClearAnswer> {
-        self.send(first, &Self::change("Replace", base, text)).await
+        self.send(first, &Self::change_request("Replace", base, text)).await
     }
 
-    /// Named items on top of a version.
+    /// Changes named items of the configuration, if `base` is the version in force.
     pub async fn modify(&self, first: usize, base: u32, text: &str) -> Result<HttpResponse, NoClearAnswer> {
-        self.send(first, &Self::change("Modify", base, text)).await
+        self.send(first, &Self::change_request("Modify", base, text)).await
     }
 
-    /// The newest configuration, whole.
+    /// Reads the newest configuration.
     pub async fn retrieve(&self, first: usize) -> Result<HttpResponse, NoClearAnswer> {
         self.send(first, &HttpRequest::new(Method::GET, "/api/Configuration.Retrieve")).await
     }
 
+    /// Starts the roll-out of a version.
     pub async fn roll_out(
         &self, service: &str, version: &str, period: Duration,
     ) -> Result<HttpResponse, NoClearAnswer> {
@@ -117,29 +120,32 @@
         self.send(0, &HttpRequest::new(Method::POST, "/api/Rollouts.Initiate").json(body.encode())).await
     }
 
-    /// State and version of a service's last roll-out; `None` where there is none, or no answer that tells.
+    /// State and target version of a service's latest roll-out; `None` if there is none or no clear response.
     pub async fn rollout(&self, service: &str) -> Option<(String, String)> {
-        let ask = HttpRequest::new(Method::GET, &format!("/api/Rollouts.Retrieve/{service}"));
-        let answer = self.send(0, &ask).await.ok().filter(|answer| answer.status == StatusCode::OK)?;
-        let value = parse_json(&answer.body)?;
+        let request = HttpRequest::new(Method::GET, &format!("/api/Rollouts.Retrieve/{service}"));
+        let response =
+            self.send(0, &request).await.ok().filter(|response| response.status == StatusCode::OK)?;
+        let value = parse_json(&response.body)?;
         let text = |key: &str| value.get(key).and_then(|text| text.as_str()).map(str::to_owned);
         Some((text("State")?, text("TargetVersion")?))
     }
 
-    /// Who leads, as a read tells: the one that answers it itself. Waits for nobody longer than a read may take.
+    /// The leader: the node that serves a read itself instead of redirecting it. Waits for each node at most
+    /// `NODE_TIMEOUT`.
     pub async fn leader(&self) -> Option<SocketAddrV4> {
-        let ask = HttpRequest::new(Method::GET, "/api/Configuration.Retrieve");
+        let request = HttpRequest::new(Method::GET, "/api/Configuration.Retrieve");
         for at in &self.control_nodes {
-            let answer = match call(*at, &ask, NODE_TIMEOUT).await {
-                Ok(answer) => answer,
+            let response = match call(*at, &request, NODE_TIMEOUT).await {
+                Ok(response) => response,
                 Err(_) => continue,
             };
-            match answer.status {
+            match response.status {
                 StatusCode::OK | StatusCode::NOT_FOUND => return Some(*at),
                 StatusCode::TEMPORARY_REDIRECT => {
-                    let Some((leader, _)) = parse_location(answer.header("Location")) else { continue };
-                    let proved = call(leader, &ask, NODE_TIMEOUT).await.map(|answer| answer.status);
-                    if matches!(proved, Ok(StatusCode::OK | StatusCode::NOT_FOUND)) {
+                    let Some((leader, _)) = parse_location(response.header("Location")) else { continue };
+                    let confirmed =
+                        call(leader, &request, NODE_TIMEOUT).await.map(|response| response.status);
+                    if matches!(confirmed, Ok(StatusCode::OK | StatusCode::NOT_FOUND)) {
                         return Some(leader);
                     }
                 }
@@ -150,27 +156,27 @@
     }
 }
 
-/// Whether an answer ends a call: neither a redirection too many, nor one after which another is to be asked.
-fn clear(status: StatusCode) -> bool {
+/// Whether a response ends a call. A redirect or a response that asks for a retry doesn't.
+fn is_clear(status: StatusCode) -> bool {
     !status.is_server_error()
         && !status.is_redirection()
         && !matches!(status, StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS)
 }
 
-/// Text read as JSON; `None` where it is none.
+/// Parses JSON; `None` if it is invalid.
 pub fn parse_json(text: &[u8]) -> Option<OwnedValue> {
     simd_json::to_owned_value(&mut text.to_vec()).ok()
 }
 
-/// A configuration's version, and its items by kind and name.
+/// A configuration's version, and its items by resource type and name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigurationItems {
     pub version: String,
     pub items: BTreeMap<(String, String), OwnedValue>,
 }
 
-/// Reads a configuration so that two that say the same are the same, in whichever order a list holds their items;
-/// `None` where it is none, or names an item twice.
+/// Parses a configuration into a form in which equal contents compare equal, whatever the order of the items. `None` if
+/// it is no configuration or names an item twice.
 pub fn parse_items(text: &[u8]) -> Option<ConfigurationItems> {
     let value = parse_json(text)?;
     let version = value.get("ConfigVersion")?.as_str()?.to_owned();
@@ -184,7 +190,7 @@
     (items.len() == list.len()).then_some(ConfigurationItems { version, items })
 }
 
-/// A route as the operator writes it.
+/// A route of a configuration.
 #[derive(Clone, Debug)]
 pub struct Route {
     pub name: String,
@@ -192,7 +198,7 @@
     pub prefix: String,
     /// `safe`, `unsafe` or `upload`.
     pub route_type: String,
-    /// Services with their weights; one alone is written as `TargetService`.
+    /// Services with their weights; a single service is written as `TargetService`.
     pub targets: Vec<(String, u32)>,
     pub timeout_s: f64,
     pub target_latency_s: f64,
@@ -216,8 +222,8 @@
     fn item(&self) -> String {
         let targets = match self.targets.as_slice() {
             [(service, _)] => format!("\"TargetService\":\"{service}\""),
-            many => {
-                let weights: Vec<String> = many
+            several => {
+                let weights: Vec<String> = several
                     .iter()
                     .map(|(service, weight)| {
                         format!("{{\"TargetService\":\"{service}\",\"Weight\":{weight}}}")
@@ -241,7 +247,7 @@
     }
 }
 
-/// A complete configuration.
+/// A whole configuration as JSON.
 pub fn full_configuration(version: u32, routes: &[Route], services: &[&str]) -> String {
     let service = |name: &&str| {
         format!(
@@ -260,7 +266,7 @@
     format!("{{\"ConfigVersion\":\"{version:08x}\",\"ResourceSet\":[{}]}}", items.join(","))
 }
 
-/// A change of named routes.
+/// A change of named routes as JSON.
 pub fn configuration_change(version: u32, upsert: &[Route], remove: &[&str]) -> String {
     let upsert: Vec<String> = upsert.iter().map(Route::item).collect();
     let remove: Vec<String> = remove.iter().map(|name| format!("\"{name}\"")).collect();
--- a/crates/playhouse/src/lib.rs
+++ b/crates/playhouse/src/lib.rs
@@ -1,6 +1,6 @@
-//! The processes of the distributed API gateway: gateways carry traffic, control nodes serve the control API and keep the
-//! replicated state. This package holds the I/O around the other packages, whose logic does no I/O; `house`, `control` and
-//! `floor` combine that logic, also without I/O.
+//! The processes of the distributed API gateway: gateways carry traffic, control nodes serve the control API and keep
+//! the replicated state. This package holds the I/O around the other packages, whose logic does no I/O; `house`,
+//! `control` and `floor` combine that logic, also without I/O.
 
 pub mod calls;
 pub mod commands;
--- a/crates/playhouse/src/ring.rs
+++ b/crates/playhouse/src/ring.rs
@@ -1,5 +1,6 @@
 //! Logger with an in-memory ring buffer: keeps the most recent log lines in bounded memory, so that little is written
 //! in normal operation and the lines that led up to a failure are available once it happens.
+//!
 //! Lines of this project's packages up to the ring's level go into the buffer; lines up to the direct level are written
 //! at once through `env_logger`. A line at `error`, a panic and a call of [`spill`] write the buffer to standard error,
 //! at most once every 10 s: writing costs processor time, which an overloaded small machine lacks most.
@@ -72,7 +73,8 @@
         self.bytes.extend(line);
     }
 
-    /// Empties the buffer and returns its lines, each with a line feed, and the number of lines dropped for lack of room.
+    /// Empties the buffer and returns its lines, each with a line feed, and the number of lines dropped for lack of
+    /// room.
     pub fn take(&mut self) -> (Vec<u8>, u64) {
         let mut text = Vec::with_capacity(self.bytes.len());
         while let (Some(low), Some(high)) = (self.bytes.pop_front(), self.bytes.pop_front()) {
@@ -132,8 +134,8 @@
         TokenBucket { capacity, interval, tokens: capacity, refilled_at: 0, suppressed: 0 }
     }
 
-    /// Takes a token and returns the number of suppressed actions since the last allowed one, or `None` if the bucket is
-    /// empty. `now` is a time of the monotonic clock.
+    /// Takes a token and returns the number of suppressed actions since the last allowed one, or `None` if the bucket
+    /// is empty. `now` is a time of the monotonic clock.
     pub fn try_acquire(&mut self, now: Micros) -> Option<u64> {
         let new_tokens = (now - self.refilled_at) / self.interval;
         self.tokens = u32::try_from(new_tokens)
@@ -248,8 +250,8 @@
 }
 
 /// Installs the logger of the process. Lines up to `direct_level` (or as `RUST_LOG` says) are written at once; lines of
-/// this project's packages up to `ring_level` go into the ring buffer. A panic writes the buffer out. Later calls have no
-/// effect.
+/// this project's packages up to `ring_level` go into the ring buffer. A panic writes the buffer out. Later calls have
+/// no effect.
 pub fn install(direct_level: LevelFilter, ring_level: LevelFilter) {
     let direct = env_logger::Builder::new().filter_level(direct_level).parse_default_env().build();
     let max_level = direct.filter().max(ring_level);
--- a/crates/playhouse/src/settings.rs
+++ b/crates/playhouse/src/settings.rs
@@ -38,6 +38,7 @@
     }
 }
 
+/// The faults, one per line.
 fn joined(faults: &[Fault]) -> String {
     faults.iter().map(Fault::to_string).collect::<Vec<_>>().join("\n  ")
 }
@@ -473,8 +474,8 @@
 }
 
 impl<'a> TableReader<'a> {
-    /// Parses the value of a key with `read`. The outer `None` means that the key is missing. The inner `None` means that
-    /// `read` rejected the value; a fault has been added.
+    /// Parses the value of a key with `read`. The outer `None` means that the key is missing. The inner `None` means
+    /// that `read` rejected the value; a fault has been added.
     fn get<T>(
         &mut self, key: &str, expected: &str, read: impl Fn(&toml::Value) -> Option<T>,
     ) -> Option<Option<T>> {
@@ -509,18 +510,21 @@
         self.get(key, expected, read).flatten().unwrap_or(default)
     }
 
+    /// A required string of 1 to `MAX_NAME_BYTES` bytes.
     fn name(&mut self, key: &str) -> Option<String> {
         self.required(key, &format!("a text of 1 to {MAX_NAME_BYTES} bytes"), |value| {
             value.as_str().filter(|text| (1..=MAX_NAME_BYTES).contains(&text.len())).map(str::to_owned)
         })
     }
 
+    /// An optional number from 0 to `max`.
     fn up_to(&mut self, key: &str, default: f64, max: f64) -> f64 {
         self.optional(key, &format!("a number from 0 to {max}"), default, |value| {
             number(value).filter(|found| (0.0..=max).contains(found))
         })
     }
 
+    /// An optional whole number from 0 to `MAX_TOLERATED_LOSSES`.
     fn count(&mut self, key: &str, default: usize) -> usize {
         self.optional(key, &format!("a whole number from 0 to {MAX_TOLERATED_LOSSES}"), default, |value| {
             let found = number(value).filter(|found| found.fract() == 0.0)?;
@@ -528,6 +532,7 @@
         })
     }
 
+    /// An optional number above 0, up to `MAX_LIMIT`.
     fn positive(&mut self, key: &str, default: f64) -> f64 {
         self.optional(key, "a number above 0", default, |value| {
             number(value).filter(|found| *found > 0.0 && *found <= MAX_LIMIT)
