--- a/crates/playhouse/src/data_plane/mod.rs
+++ b/crates/playhouse/src/data_plane/mod.rs
@@ -20,7 +20,7 @@
 use types::{Carrier, MS, Micros, NodeAddress, SECOND};
 
 use crate::house::{Happened, House, Letter, Word};
-use crate::settings::{Settings, micros};
+use crate::settings::{Settings, seconds_to_micros};
 use budgets::{GatewayCounts, RetryBudget};
 use control_state::CommandOutcome;
 use load::{BudgetLimits, ConnectionShare, Fleet};
@@ -163,12 +163,12 @@
 impl DataPlane {
     /// Starts without a configuration. `seed` determines every random choice of the balancers.
     pub fn start(mut node: House, settings: Rc<Settings>, seed: u64, now: Micros) -> DataPlane {
-        node.cast.set_drain_limit(micros(settings.timer_bounds.drain_s));
+        node.cast.set_drain_limit(seconds_to_micros(settings.timer_bounds.drain_s));
         let timer_bounds = &settings.timer_bounds;
         let budget_limits = BudgetLimits {
             retry_ratio: timer_bounds.retry_budget_ratio,
             retry_slack: timer_bounds.retry_budget_slack,
-            retry_window: micros(timer_bounds.retry_window_s),
+            retry_window: seconds_to_micros(timer_bounds.retry_window_s),
             exposure_slack: timer_bounds.exposure_slack,
         };
         let zones: Vec<String> = settings.zones.keys().cloned().collect();
@@ -273,7 +273,7 @@
     /// gateways and restarts are not driven yet: a gateway that was accused could not show that it is healthy.
     pub fn check_intent(&mut self, now: Micros) {
         let own = &self.node.own;
-        let tuning = intent::Tuning::of_apply(micros(self.settings.timer_bounds.config_apply_s));
+        let tuning = intent::Tuning::of_apply(seconds_to_micros(self.settings.timer_bounds.config_apply_s));
         self.intent_checker = Some(Usher::start(own.address, own.run_id, tuning, self.seed ^ 5, now));
         self.notify_intent_checker(now);
     }
--- a/crates/playhouse/src/gateway/mod.rs
+++ b/crates/playhouse/src/gateway/mod.rs
@@ -32,7 +32,7 @@
 use crate::house::{Clock, House, chance};
 use crate::metrics::{self, Metrics, MetricsSource};
 use crate::post::send;
-use crate::settings::{Settings, micros};
+use crate::settings::{Settings, seconds_to_micros};
 use crate::signals::{SignalEvent, Signals};
 use attempt::{Attempt, AttemptResult, ReplayableRequest};
 use body_budget::BodyBudget;
@@ -106,7 +106,13 @@
     )?;
     let now = clock.now();
     let member = settings.member(Role::Gateway, RunId(chance()));
-    let node = House::start(member, settings.seeds(), micros(settings.heartbeat_s), chance(), now);
+    let node = House::start(
+        member,
+        settings.seed_addresses(),
+        seconds_to_micros(settings.heartbeat_s),
+        chance(),
+        now,
+    );
     let wake_loop = Rc::new(tokio::sync::Notify::new());
     let gateway = Gateway {
         data_plane: DataPlane::start(node, settings.clone(), chance(), now),
@@ -138,7 +144,7 @@
         shared.clone(),
     ));
     let mut signals = Signals::start()?;
-    let grace = Duration::from_micros(micros(settings.timer_bounds.grace_s) as u64);
+    let grace = Duration::from_micros(seconds_to_micros(settings.timer_bounds.grace_s) as u64);
     let mut ends_at: Option<tokio::time::Instant> = None;
     loop {
         let due = clock.at(shared.borrow().due());
@@ -173,7 +179,7 @@
                 SignalEvent::Terminate => {}
                 SignalEvent::Reload => match Settings::path().and_then(|path| Settings::read(&path)) {
                     Ok(settings) => {
-                        shared.borrow_mut().step(&shared, Input::SeedsChanged { seeds: settings.seeds() });
+                        shared.borrow_mut().step(&shared, Input::SeedsChanged { seeds: settings.seed_addresses() });
                     }
                     Err(error) => log::warn!(target: LOG_TARGET, "settings stay as they were: {error}"),
                 },
