--- a/crates/extras/src/kind.rs
+++ b/crates/extras/src/kind.rs
@@ -1,6 +1,6 @@
 //! Kinds (of words and of work): what is counted apart.
 
-use playhouse::house::Word;
+use playhouse::node::NodeMessage;
 
 /// Every kind, by its number: words as `room.variant`, then work that no word brings.
 pub const NAMES: [&str; 49] = [
@@ -64,9 +64,9 @@
 pub const ANSWER: usize = 44;
 
 /// The kind of a word.
-pub fn of(word: &Word) -> usize {
+pub fn of(word: &NodeMessage) -> usize {
     match word {
-        Word::Company(message) => match message.body {
+        NodeMessage::Membership(message) => match message.body {
             membership::MessageBody::Join => 0,
             membership::MessageBody::Gossip => 1,
             membership::MessageBody::Probe { .. } => 2,
@@ -77,7 +77,7 @@
             membership::MessageBody::IdentityRequest => 7,
             membership::MessageBody::CompareDigests { .. } => 8,
         },
-        Word::Board(message) => match message {
+        NodeMessage::Replication(message) => match message {
             replication::Message::Commands { .. } => 9,
             replication::Message::Digest { .. } => 10,
             replication::Message::Pull { .. } => 11,
@@ -85,7 +85,7 @@
             replication::Message::FreshnessRequest => 45,
             replication::Message::FreshnessProof { .. } => 46,
         },
-        Word::Cast(message) => match message {
+        NodeMessage::Registry(message) => match message {
             registry::Message::Update { .. } => 13,
             registry::Message::DrainNotice { .. } => 14,
             registry::Message::DrainAck { .. } => 15,
@@ -95,10 +95,10 @@
             registry::Message::Request { .. } => 19,
             registry::Message::Records { .. } => 20,
         },
-        Word::Book { message, .. } => of_book(message),
-        Word::Vote(_) => 35,
-        Word::Intent(_) => 36,
-        Word::NotLetIn { .. } => 37,
+        NodeMessage::Consensus { message, .. } => of_book(message),
+        NodeMessage::Vote(_) => 35,
+        NodeMessage::Intent(_) => 36,
+        NodeMessage::JoinRefused { .. } => 37,
     }
 }
 
--- a/crates/extras/src/sockets/part.rs
+++ b/crates/extras/src/sockets/part.rs
@@ -10,7 +10,7 @@
 use clap::Args;
 use control_state::{Command, CommandOutcome};
 use cpu_time::ProcessTime;
-use playhouse::control::Told as Answer;
+use playhouse::control_plane::CallOutcome as Answer;
 use playhouse::settings::Settings;
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
@@ -199,9 +199,9 @@
         told.busiest_bytes = told.busiest_bytes.max(spent.bytes_in + spent.bytes_out);
         told.ready += usize::from(one.node.floor().is_some_and(|floor| floor.ready()));
         let Some(house) = one.node.house() else { continue };
-        told.whole_company += usize::from(house.company.members().count() + 1 >= machines);
+        told.whole_company += usize::from(house.membership.members().count() + 1 >= machines);
         let serves = |known: &&registry::Instance| known.state == registry::InstanceState::InService;
-        let known = house.cast.instances().filter(serves).count();
+        let known = house.registry.instances().filter(serves).count();
         told.whole_cast += usize::from(known >= part.plan.instances);
         let came = one.in_force.iter().find(|(of, _)| *of == version);
         told.in_force.extend(came.map(|(_, at)| *at).filter(|_| phase != Phase::Steady));
@@ -344,7 +344,7 @@
         let next = Instant::now() + HEARTBEAT;
         let call = call(&hubs[hub], &waiting, |node, now, ask| node.beat(now, ask, beat.clone())).await;
         calls.borrow_mut().0 += 1;
-        if let Some(Answer::Beat { target }) = call {
+        if let Some(Answer::HeartbeatAccepted { target }) = call {
             let at = (0..hubs.len()).find(|at| target == Some(part.place(*at)));
             (hub, pause) = (at.unwrap_or(hub), PATIENCE / 10);
             tokio::time::sleep_until(next).await;
--- a/crates/extras/src/world/callers.rs
+++ b/crates/extras/src/world/callers.rs
@@ -4,7 +4,7 @@
 
 use control_state::{Command, CommandOutcome};
 use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
-use playhouse::control::Told;
+use playhouse::control_plane::CallOutcome;
 use registry::{Heartbeat, InstanceId};
 use types::{CallId, ConfigVersion, MS, Micros, NodeAddress, SECOND};
 
@@ -146,13 +146,13 @@
         self.later(after, Event::Beat { instance: number, life });
     }
 
-    pub(super) fn told(&mut self, at: usize, ask: CallId, told: Told) {
+    pub(super) fn told(&mut self, at: usize, ask: CallId, told: CallOutcome) {
         if self.order.as_ref().is_some_and(|order| order.ask == ask.0) {
             return self.ordered(at, &told);
         }
         let Some(number) = self.asks.remove(&ask.0) else { return };
         match told {
-            Told::Beat { target } => {
+            CallOutcome::HeartbeatAccepted { target } => {
                 let target: Option<NodeAddress> = target;
                 let hub = target.and_then(|place| self.by_place.get(&place).copied()).unwrap_or(at);
                 let one = &mut self.instances[number];
@@ -249,16 +249,16 @@
         self.play(at, kind::ORDER, |node, now| node.order(now, CallId(ask), command));
     }
 
-    fn ordered(&mut self, _at: usize, told: &Told) {
+    fn ordered(&mut self, _at: usize, told: &CallOutcome) {
         let now = self.now;
         let Some(order) = &mut self.order else { return };
         match told {
-            Told::Applied(CommandOutcome::Applied | CommandOutcome::Repeated) => {
+            CallOutcome::Applied(CommandOutcome::Applied | CommandOutcome::Repeated) => {
                 order.acknowledged = Some(now);
                 self.version = order.version;
                 self.figures.acknowledged_s.push((now - order.since) as f64 / 1e6);
             }
-            Told::Applied(outcome) => self.figures.refusals.push(format!("{outcome:?}")),
+            CallOutcome::Applied(outcome) => self.figures.refusals.push(format!("{outcome:?}")),
             _ => {}
         }
         self.over();
--- a/crates/extras/src/world/report.rs
+++ b/crates/extras/src/world/report.rs
@@ -88,12 +88,16 @@
             return;
         }
         let size = self.size;
-        let knows = |at: usize| self.nodes[at].house().map(|house| house.company.members().count());
+        let knows = |at: usize| self.nodes[at].house().map(|house| house.membership.members().count());
         let whole = (0..self.nodes.len()).filter(|at| knows(*at).is_some_and(|n| n + 1 >= size.machines()));
         let whole_company = whole.count();
         let cast = |at: usize| {
             self.nodes[at].house().map(|house| {
-                house.cast.instances().filter(|one| one.state == registry::InstanceState::InService).count()
+                house
+                    .registry
+                    .instances()
+                    .filter(|one| one.state == registry::InstanceState::InService)
+                    .count()
             })
         };
         let whole_cast =
--- a/crates/playhouse/src/commands/ledger.rs
+++ b/crates/playhouse/src/commands/ledger.rs
@@ -88,7 +88,7 @@
 
 impl Passing {
     fn make() -> Result<Passing, Failed> {
-        let name = format!("playhouse-ledger-{}-{:x}", std::process::id(), crate::house::chance());
+        let name = format!("playhouse-ledger-{}-{:x}", std::process::id(), crate::node::random_u64());
         let path = std::env::temp_dir().join(name);
         fs::create_dir(&path).map_err(|error| Failed::File { path: path.clone(), error })?;
         Ok(Passing(path))
@@ -158,7 +158,7 @@
             beyond @ CommandOutcome::UnsupportedFormat { .. } => {
                 return Err(damaged(
                     dir,
-                    format!("entry {}: {}", entry.index.0, crate::prompter::refusal(&beyond)),
+                    format!("entry {}: {}", entry.index.0, crate::control_node::refusal_text(&beyond)),
                 ));
             }
             _ => held.refused += 1,
@@ -357,7 +357,7 @@
         ));
     }
     let failed = |error: StorageError| Failed::Process(format!("{}: {error}", to.display()).into());
-    let life = RunId(crate::house::chance() | 1);
+    let life = RunId(crate::node::random_u64() | 1);
     let store = DiskStore::open(to).map_err(|error| failed(error.into()))?;
     let (mut ledger, _) = LogStore::open(store, life).map_err(failed)?;
     let term = Term(held.opened.state.term.0.max(held.last_term()) + ABOVE);
--- a/crates/playhouse/src/commands/mod.rs
+++ b/crates/playhouse/src/commands/mod.rs
@@ -22,7 +22,7 @@
 use simd_json::prelude::*;
 
 use crate::settings::{Settings, SettingsError};
-use crate::{demo, foyer, prompter};
+use crate::{control_node, demo, foyer};
 
 const CODES: &str = "Exit codes: 0 all is well; 1 what was looked at is not (faults, differences, damage, a roll-out that was \
 turned back, a process that could not go on); 2 the command line is wrong; 3 no clear answer from any machine; \
@@ -171,7 +171,7 @@
     match verb {
         Verb::Foyer(serve) => foyer::run(settings(Role::Gateway)?, serve.metrics).await.map_err(ended),
         Verb::Prompter(serve) => {
-            prompter::run(settings(Role::ControlNode)?, serve.metrics).await.map_err(ended)
+            control_node::run(settings(Role::ControlNode)?, serve.metrics).await.map_err(ended)
         }
         Verb::Check(check) => check.run(),
         Verb::Config(config) => config.run().await,
--- a/crates/playhouse/src/commands/view.rs
+++ b/crates/playhouse/src/commands/view.rs
@@ -8,8 +8,8 @@
 use simd_json::prelude::*;
 use types::{Micros, SECOND};
 
-use crate::control::Control;
-use crate::house::House;
+use crate::control_plane::ControlPlane;
+use crate::node::NodeCore;
 
 /// Instances that are listed; more are counted.
 const INSTANCES_MOST: usize = 2048;
@@ -52,20 +52,20 @@
 }
 
 /// The system as this prompter sees it at `now`.
-pub fn view(control: &Control, disk: Disk, now: Micros) -> OwnedValue {
-    let (house, book) = (&control.house, control.book());
-    let seat = control.seat();
+pub fn view(control: &ControlPlane, disk: Disk, now: Micros) -> OwnedValue {
+    let (house, book) = (&control.node, control.raft());
+    let seat = control.voter_id();
     let voters: Vec<OwnedValue> = (book.members().0.iter())
         .map(|seat| simd_json::json!({ "Place": seat.address.to_string(), "Life": life(seat.disk_id) }))
         .collect();
     let mut members = vec![member(house, now, &house.own, "alive")];
-    let others = house.company.members().filter(|(member, _)| member.address != house.own.address);
+    let others = house.membership.members().filter(|(member, _)| member.address != house.own.address);
     members.extend(others.map(|(one, stands)| member(house, now, one, standing(stands))));
     let rollouts: Vec<OwnedValue> =
-        house.script.rollouts.values().map(|rollout| trial(control, now, rollout)).collect();
+        house.state.rollouts.values().map(|rollout| trial(control, now, rollout)).collect();
     let mut counts: BTreeMap<&str, [usize; 4]> = BTreeMap::new();
     let (mut instances, mut more) = (Vec::new(), 0);
-    for record in house.cast.instances() {
+    for record in house.registry.instances() {
         counts.entry(&record.service).or_default()[record.state as usize] += 1;
         if instances.len() < INSTANCES_MOST {
             instances.push(instance(now, record));
@@ -85,14 +85,14 @@
             "Name": house.own.name.clone(), "Place": seat.address.to_string(), "Life": life(seat.disk_id),
             "Program": house.own.version.program.to_string(),
         },
-        "AgreedForm": house.script.agreed_format().0,
-        "WordsRefused": house.refused(),
+        "AgreedForm": house.state.agreed_format().0,
+        "WordsRefused": house.rejected_messages(),
         "Leads": book.is_leader(),
         "Leader": book.leader().map(|seat| seat.address.to_string()),
         "Term": book.term().0,
         "LogCommitted": book.commit_index().0,
-        "LogApplied": house.script.last_applied().0,
-        "ConfigVersion": house.script.configuration_version().to_string(),
+        "LogApplied": house.state.last_applied().0,
+        "ConfigVersion": house.state.configuration_version().to_string(),
         "Disk": { "WaitsS": disk.waits.map(seconds), "Fails": disk.fails },
         "Voters": voters,
         "Members": members,
@@ -103,17 +103,18 @@
     })
 }
 
-fn member(house: &House, now: Micros, member: &membership::Member, standing: &str) -> OwnedValue {
+fn member(house: &NodeCore, now: Micros, member: &membership::Member, standing: &str) -> OwnedValue {
     let part = match member.role {
         Role::Gateway => "foyer",
         Role::ControlNode => "prompter",
     };
-    let here = house.board.index().0;
-    let behind = house.holds(member.address, HEARD_WITHIN).map(|index| here.saturating_sub(index.0));
+    let here = house.replicator.index().0;
+    let behind =
+        house.replicated_index(member.address, HEARD_WITHIN).map(|index| here.saturating_sub(index.0));
     simd_json::json!({
         "Name": member.name.clone(), "Place": member.address.to_string(), "Life": life(member.run_id), "Part": part,
         "Zone": member.zone.clone(), "Standing": standing,
-        "SinceS": house.company.status_since(member.address).map(|since| seconds(now - since)),
+        "SinceS": house.membership.status_since(member.address).map(|since| seconds(now - since)),
         "Behind": behind, "Program": member.version.program.to_string(),
         "OldestForm": member.version.formats.oldest.0, "NewestForm": member.version.formats.newest.0,
     })
@@ -128,7 +129,7 @@
     }
 }
 
-fn trial(control: &Control, now: Micros, rollout: &control_state::Rollout) -> OwnedValue {
+fn trial(control: &ControlPlane, now: Micros, rollout: &control_state::Rollout) -> OwnedValue {
     let votes = control.votes(now, &rollout.service).map(|votes| {
         simd_json::json!({
             "On": votes.promote_votes, "Back": votes.roll_back_votes, "Trial": votes.trial_outcomes, "TrialFailed": votes.trial_failures,
--- a/crates/playhouse/src/floor/mod.rs
+++ b/crates/playhouse/src/floor/mod.rs
@@ -18,7 +18,7 @@
 use membership::Role;
 use types::{Carrier, MS, Micros, NodeAddress, SECOND};
 
-use crate::house::{Happened, House, Letter, Word};
+use crate::node::{Envelope, NodeCore, NodeEvent, NodeMessage};
 use crate::settings::{Settings, micros};
 use budgets::{GatewayCounts, RetryBudget};
 use control_state::CommandOutcome;
@@ -79,7 +79,7 @@
 pub enum Out {
     Send {
         to: NodeAddress,
-        word: Letter,
+        word: Envelope,
     },
     /// Send the ticket to an instance, over `connections` to it at most.
     Trip {
@@ -111,7 +111,7 @@
 }
 
 pub struct Floor {
-    pub house: House,
+    pub house: NodeCore,
     now: Rc<Cell<Micros>>,
     settings: Rc<Settings>,
     bill: Option<Arc<Configuration>>,
@@ -149,8 +149,8 @@
 }
 
 impl Floor {
-    pub fn start(mut house: House, settings: Rc<Settings>, seed: u64, now: Micros) -> Floor {
-        house.cast.set_drain_limit(micros(settings.timer_bounds.drain_s));
+    pub fn start(mut house: NodeCore, settings: Rc<Settings>, seed: u64, now: Micros) -> Floor {
+        house.registry.set_drain_limit(micros(settings.timer_bounds.drain_s));
         let bounds = &settings.timer_bounds;
         let bounds = BudgetLimits {
             retry_ratio: bounds.retry_budget_ratio,
@@ -213,16 +213,16 @@
     pub fn ready(&self) -> bool {
         !self.leaving
             && self.opened
-            && self.house.unreadable().is_none()
+            && self.house.unreadable_entry().is_none()
             && self.usher.as_ref().is_none_or(|usher| usher.ward.open())
     }
 
     /// How this foyer stands, for people and scripts.
     pub fn status(&self) -> simd_json::OwnedValue {
         let of = |state: registry::InstanceState| {
-            self.house.cast.instances().filter(|known| known.state == state).count() as u64
+            self.house.registry.instances().filter(|known| known.state == state).count() as u64
         };
-        let why = match (self.leaving, &self.bill, self.house.why_unreadable()) {
+        let why = match (self.leaving, &self.bill, self.house.unreadable_reason()) {
             (true, ..) => "it is leaving",
             (_, _, Some(why)) => why,
             (_, None, _) => "no configuration is known",
@@ -235,13 +235,13 @@
             "Program": self.house.own.version.program.to_string(),
             "OldestForm": self.house.own.version.formats.oldest.0,
             "NewestForm": self.house.own.version.formats.newest.0,
-            "AgreedForm": self.house.script.agreed_format().0,
-            "WordsRefused": self.house.refused(),
+            "AgreedForm": self.house.state.agreed_format().0,
+            "WordsRefused": self.house.rejected_messages(),
             "Ready": self.ready(),
             "NotReadyFor": why,
             "ConfigVersion": self.bill.as_ref().map(|bill| bill.version.to_string()),
-            "LogIndex": self.house.script.last_applied().0,
-            "Prompters": self.house.up(Role::ControlNode).len() as u64,
+            "LogIndex": self.house.state.last_applied().0,
+            "Prompters": self.house.live_peers(Role::ControlNode).len() as u64,
             "Foyers": self.foyers.len() as u64,
             "RequestsInHand": self.open.len() as u64,
             "TurnedBack": self.turned_back,
@@ -266,9 +266,9 @@
     /// instances are not known here yet, while other foyers know them. What is here has to be known as new
     /// besides: guards against serving from a prompter that is cut off what has long been replaced.
     fn open(&mut self, now: Micros) {
-        self.proved = self.proved || self.house.proved();
+        self.proved = self.proved || self.house.is_fresh();
         let Some(bill) = self.bill.as_ref().filter(|_| !self.opened) else { return };
-        let cast = &self.house.cast;
+        let cast = &self.house.registry;
         let known: HashSet<&str> = cast
             .instances()
             .filter(|known| known.state == registry::InstanceState::InService)
@@ -310,7 +310,7 @@
             }
         }
         self.settle(now);
-        let letters = self.house.letters().into_iter();
+        let letters = self.house.take_envelopes().into_iter();
         let mut out: Vec<Out> = letters.map(|(to, word)| Out::Send { to, word }).collect();
         out.append(&mut self.out);
         out
@@ -340,24 +340,26 @@
     /// Carries on what has happened in the common part.
     fn settle(&mut self, now: Micros) {
         let (mut changed, mut told) = (false, false);
-        while let Some(happened) = self.house.happened() {
+        while let Some(happened) = self.house.next_event() {
             match happened {
-                Happened::Applied { outcome: CommandOutcome::Applied, .. } | Happened::Restored => {
+                NodeEvent::Applied { outcome: CommandOutcome::Applied, .. } | NodeEvent::Restored => {
                     changed = true
                 }
                 // What was refused changes nothing, but the index goes on.
-                Happened::Applied { .. } => told = true,
-                Happened::Peers => {
+                NodeEvent::Applied { .. } => told = true,
+                NodeEvent::PeersChanged => {
                     told = true;
                     changed |= self.peers_changed(now);
                 }
-                Happened::Instance(id) => self.instance(&id),
+                NodeEvent::InstanceChanged(id) => self.instance(&id),
                 // What is for prompters only.
-                Happened::BeatTaken { .. }
-                | Happened::BeatNotTaken { .. }
-                | Happened::Book { .. }
-                | Happened::Vote { .. } => {}
-                Happened::Intent { from, word } => self.ushered(now, usher::Event::Word { from, word }),
+                NodeEvent::HeartbeatAccepted { .. }
+                | NodeEvent::HeartbeatRejected { .. }
+                | NodeEvent::Consensus { .. }
+                | NodeEvent::Vote { .. } => {}
+                NodeEvent::Intent { from, message: word } => {
+                    self.ushered(now, usher::Event::Word { from, word })
+                }
             }
         }
         if changed {
@@ -372,7 +374,7 @@
     /// The part of what is shared is this foyer's at once; all else is worked out soon, or now (`true`) where
     /// there is no configuration to work it out from.
     fn peers_changed(&mut self, now: Micros) -> bool {
-        let foyers = self.house.up(Role::Gateway).len() + 1;
+        let foyers = self.house.live_peers(Role::Gateway).len() + 1;
         self.party.record(now, foyers);
         self.purse.borrow_mut().set_gateway_count(now, foyers);
         if self.bill.is_some() {
@@ -384,7 +386,7 @@
     /// The configuration, a roll-out or the number of foyers is another.
     fn script_changed(&mut self, now: Micros) {
         self.peers_due = Micros::MAX;
-        let mut foyers = self.house.up(Role::Gateway);
+        let mut foyers = self.house.live_peers(Role::Gateway);
         foyers.push(self.house.own.address);
         foyers.sort_unstable();
         let index = foyers.iter().position(|place| *place == self.house.own.address).unwrap_or(0);
@@ -393,7 +395,7 @@
         self.party.record(now, foyers.len());
         self.fleet.budget_share = self.party.share_of(now, 1.0);
         self.purse.borrow_mut().set_gateway_count(now, foyers.len());
-        self.bill = self.house.script.configuration().cloned();
+        self.bill = self.house.state.configuration().cloned();
         let Some(bill) = self.bill.clone() else { return };
         let cap = self.settings.timer_bounds.exposure_share;
         for service in bill.services.keys() {
@@ -406,12 +408,12 @@
         }
         for service in self.desks.keys().cloned().collect::<Vec<_>>() {
             let Some(desk) = self.desks.get_mut(&service) else { continue };
-            let rollout = self.house.script.rollouts.get(&*service);
+            let rollout = self.house.state.rollouts.get(&*service);
             let settled = rollout.is_some_and(|rollout| rollout.state_since - self.began >= SETTLED);
             desk.bill_changed(&bill, &self.fleet, settled);
             let share = share(Some(&bill), &service, foyers.len());
             desk.share(share);
-            let known = self.house.cast.instances().filter(|known| *known.service == *service);
+            let known = self.house.registry.instances().filter(|known| *known.service == *service);
             let own = self.house.own.address;
             let known = known.map(|known| (known, share.gateways_ahead(own, &foyers, &known.id.0)));
             desk.instances(known, rollout);
@@ -427,7 +429,7 @@
         if self.usher.is_none() {
             return;
         }
-        let (foyers, hubs) = (self.foyers.clone(), self.house.up(Role::ControlNode));
+        let (foyers, hubs) = (self.foyers.clone(), self.house.live_peers(Role::ControlNode));
         self.ushered(now, usher::Event::Peers { foyers, hubs });
         if let Some(taken) = self.house.intent() {
             self.ushered(now, usher::Event::Taken(Arc::new(taken)));
@@ -439,7 +441,7 @@
 
     /// Read back from what requests are handled by.
     fn tables(&self) -> Option<Arc<Intent>> {
-        let script = &self.house.script;
+        let script = &self.house.state;
         Some(Arc::new(Intent::read(script.last_applied(), self.bill.as_ref()?, script.rollouts.values())))
     }
 
@@ -447,7 +449,7 @@
         let Some(usher) = &mut self.usher else { return };
         for effect in usher.step(now, event) {
             match effect {
-                usher::Effect::Send { to, word } => self.house.send(to, Word::Intent(word)),
+                usher::Effect::Send { to, word } => self.house.send(to, NodeMessage::Intent(word)),
                 usher::Effect::ReadBack { to, nonce } => {
                     if let Some(tables) = self.tables() {
                         self.ushered(now, usher::Event::ReadBack { to, nonce, tables });
@@ -466,7 +468,7 @@
     }
 
     fn instance(&mut self, id: &registry::InstanceId) {
-        let Some(known) = self.house.cast.get(id) else { return };
+        let Some(known) = self.house.registry.get(id) else { return };
         let warmup = known.warm_at - known.first_seen;
         if warmup > self.fleet.longest_warmup {
             self.fleet.longest_warmup = warmup.min(60 * SECOND);
@@ -474,7 +476,7 @@
         let Some(desk) = self.desks.get_mut(known.service.as_str()) else { return };
         let share = share(self.bill.as_deref(), &known.service, self.foyers.len());
         let before = share.gateways_ahead(self.house.own.address, &self.foyers, &known.id.0);
-        desk.instances([(known, before)].into_iter(), self.house.script.rollouts.get(&known.service));
+        desk.instances([(known, before)].into_iter(), self.house.state.rollouts.get(&known.service));
         let service = desk.service.clone();
         self.decide(&service, |_| {});
     }
@@ -605,9 +607,9 @@
         if votes.is_empty() {
             return;
         }
-        for place in self.house.up(Role::ControlNode) {
+        for place in self.house.live_peers(Role::ControlNode) {
             for vote in &votes {
-                self.house.send(place, Word::Vote(vote.clone()));
+                self.house.send(place, NodeMessage::Vote(vote.clone()));
             }
         }
     }
--- a/crates/playhouse/src/foyer/front.rs
+++ b/crates/playhouse/src/foyer/front.rs
@@ -317,7 +317,7 @@
         return Some(&only.service);
     }
     let all: f64 = route.targets.iter().map(|target| target.weight).sum();
-    let mut drawn = (crate::house::chance() >> 11) as f64 / (1u64 << 53) as f64 * all;
+    let mut drawn = (crate::node::random_u64() >> 11) as f64 / (1u64 << 53) as f64 * all;
     for target in &route.targets {
         if drawn < target.weight {
             return Some(&target.service);
--- a/crates/playhouse/src/foyer/mod.rs
+++ b/crates/playhouse/src/foyer/mod.rs
@@ -29,9 +29,9 @@
 
 use crate::floor::desk::Seen;
 use crate::floor::{Floor, In, Out};
-use crate::house::{Clock, House, chance};
 use crate::metrics::{self, Measured, Metrics};
-use crate::post::send;
+use crate::node::{Clock, NodeCore, random_u64};
+use crate::outgoing::send;
 use crate::settings::{Settings, micros};
 use crate::signals::{Signals, Told as Signal};
 use cloakroom::Cloakroom;
@@ -94,11 +94,11 @@
         transport::TransportLimits::default(),
     )?;
     let now = clock.now();
-    let member = settings.member(Role::Gateway, RunId(chance()));
-    let house = House::start(member, settings.seeds(), micros(settings.heartbeat_s), chance(), now);
+    let member = settings.member(Role::Gateway, RunId(random_u64()));
+    let house = NodeCore::start(member, settings.seeds(), micros(settings.heartbeat_s), random_u64(), now);
     let changed = Rc::new(tokio::sync::Notify::new());
     let foyer = Foyer {
-        floor: Floor::start(house, settings.clone(), chance(), now),
+        floor: Floor::start(house, settings.clone(), random_u64(), now),
         post: Rc::new(post),
         clock,
         settings: settings.clone(),
--- a/crates/playhouse/src/foyer/trip.rs
+++ b/crates/playhouse/src/foyer/trip.rs
@@ -19,7 +19,7 @@
 use super::cloakroom::Coat;
 use super::pool::{self, Body, Failed, Pool, Wire};
 use crate::floor::desk::Seen;
-use crate::house::Clock;
+use crate::node::Clock;
 
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
 pub const REMAINING_TIME: HeaderName = HeaderName::from_static("remaining-time");
--- a/crates/playhouse/src/foyer/watch.rs
+++ b/crates/playhouse/src/foyer/watch.rs
@@ -12,7 +12,7 @@
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
 use types::Micros;
 
-use crate::house::Clock;
+use crate::node::Clock;
 
 /// How long, and for how many bytes, a client that still sends what nobody wants is read after its answer.
 /// Closed with bytes unread, the connection would be reset, and the answer be lost with it.
--- a/crates/playhouse/src/metrics.rs
+++ b/crates/playhouse/src/metrics.rs
@@ -18,7 +18,7 @@
 use prometheus_client::registry::Registry;
 use transport::TransportStats;
 
-use crate::house::House;
+use crate::node::NodeCore;
 
 const PATH: &str = "/metrics";
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -31,16 +31,16 @@
 
 impl Metrics {
     /// What gateways and control machines have in common.
-    pub fn of(house: &House, post: TransportStats) -> Metrics {
+    pub fn of(house: &NodeCore, post: TransportStats) -> Metrics {
         let mut metrics = Metrics(Registry::with_prefix("garnetdoor"));
-        let news = house.board.stats();
+        let news = house.replicator.stats();
         metrics.gauge("news_held_index", "Last ordered command held here", news.held_index.0);
         metrics.gauge("news_known_index", "Newest ordered command heard of", news.known_index.0);
         metrics.counter("news_asks", "Asks for missing commands", news.pulls);
         metrics.counter("news_asks_unanswered", "Asks without an answer in time", news.pulls_unanswered);
         metrics.gauge("news_longest_gap_micros", "Longest time behind", news.longest_gap.max(0) as u64);
-        let watches = house.board.watch_stats();
-        if let Some(age) = house.news_age() {
+        let watches = house.replicator.watch_stats();
+        if let Some(age) = house.state_age() {
             metrics.gauge("news_age_micros", "Age of what is held, as proved", age as u64);
         }
         metrics.counter(
@@ -53,23 +53,23 @@
             "Control machines left as their news was old",
             watches.dropped_stale,
         );
-        metrics.gauge("watchers", "Gateways that watch this control machine", house.watchers() as u64);
-        metrics.gauge("watchers_held_dead", "Of these, held dead here", house.watchers_held_dead() as u64);
-        metrics.counter("commands_not_taken", "Commands that changed nothing", house.not_taken());
-        metrics.counter("words_refused", "Messages of forms not read here", house.refused());
+        metrics.gauge("watchers", "Gateways that watch this control machine", house.watcher_count() as u64);
+        metrics.gauge("watchers_held_dead", "Of these, held dead here", house.dead_watcher_count() as u64);
+        metrics.counter("commands_not_taken", "Commands that changed nothing", house.ineffective_commands());
+        metrics.counter("words_refused", "Messages of forms not read here", house.rejected_messages());
         metrics.gauge(
             "control_machines_up",
             "Others, as seen here",
-            house.up(Role::ControlNode).len() as u64,
+            house.live_peers(Role::ControlNode).len() as u64,
         );
-        metrics.gauge("gateways_up", "Others, as seen here", house.up(Role::Gateway).len() as u64);
-        metrics.counter("members_declared_dead", "Members held dead, in turn", house.declared_dead());
+        metrics.gauge("gateways_up", "Others, as seen here", house.live_peers(Role::Gateway).len() as u64);
+        metrics.counter("members_declared_dead", "Members held dead, in turn", house.members_declared_dead());
         metrics.counter("datagrams_sent", "Datagrams given to the system", post.datagrams_sent);
         metrics.counter("datagrams_refused", "Datagrams not taken by the system", post.datagrams_refused);
         metrics.counter("datagrams_received", "Datagrams received", post.datagrams_received);
         metrics.counter("datagrams_dropped", "Datagrams dropped for want of room", post.datagrams_dropped);
-        metrics.gauge("peers_by_stream", "Nodes not left to datagrams now", house.streams() as u64);
-        metrics.gauge("link_strained", "Own datagrams seem to be lost", u64::from(house.strained()));
+        metrics.gauge("peers_by_stream", "Nodes not left to datagrams now", house.stream_peer_count() as u64);
+        metrics.gauge("link_strained", "Own datagrams seem to be lost", u64::from(house.link_degraded()));
         metrics.counter("stream_messages_sent", "Messages queued for streams", post.stream_messages_sent);
         metrics
     }
--- a/crates/playhouse/tests/exchange.rs
+++ b/crates/playhouse/tests/exchange.rs
@@ -24,7 +24,7 @@
 use playhouse::foyer::exchange::{End, Look, State};
 use playhouse::foyer::pool::{Failed, Pool};
 use playhouse::foyer::trip::{ATTEMPT_ID, Asked, Outcome, Trip};
-use playhouse::house::Clock;
+use playhouse::node::Clock;
 use registry::InstanceId;
 use types::{MS, Micros, SECOND};
 
--- a/crates/playhouse/tests/foyer_parts.rs
+++ b/crates/playhouse/tests/foyer_parts.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use playhouse::foyer::cloakroom::{Cloakroom, SHARE};
 use playhouse::foyer::watch::{Due, Watch};
-use playhouse::house::Clock;
+use playhouse::node::Clock;
 
 #[test]
 fn what_is_held_is_given_back_with_the_last_part_of_a_body() {
--- a/crates/registry/tests/world/mod.rs
+++ b/crates/registry/tests/world/mod.rs
@@ -13,7 +13,7 @@
 /// A hub hears so often how long ago a majority was in touch, which was an election span before.
 const PROVED_EVERY: Micros = 200 * MS;
 const ELECTION: Micros = 700 * MS;
-/// How long a node is written to by stream once it was insisted on, as the nodes do it (`playhouse::paths`).
+/// How long a node is written to by stream once it was insisted on, as the nodes do it (`playhouse::carrier_selection`).
 const BY_STREAM: Micros = 5 * SECOND;
 
 pub struct Node {
--- a/crates/rehearsal/src/world/foyer.rs
+++ b/crates/rehearsal/src/world/foyer.rs
@@ -7,7 +7,7 @@
 use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
 use playhouse::floor::desk::Seen as Target;
 use playhouse::floor::{Floor, In, Out};
-use playhouse::house::Word;
+use playhouse::node::NodeMessage;
 use types::{MS, Micros, RunId, SECOND};
 
 use super::instances::Trip;
@@ -67,7 +67,7 @@
         for what in out {
             match what {
                 Out::Send { to, word } => {
-                    let mute = self.planted == Some(Planted::NoCap) && matches!(*word, Word::Vote(_));
+                    let mute = self.planted == Some(Planted::NoCap) && matches!(*word, NodeMessage::Vote(_));
                     if !mute {
                         self.send(at, to, &word);
                     }
@@ -370,10 +370,10 @@
         let at = self.scenario.prompters;
         let old = self.old_scripts.remove(&at);
         if let Some(process) = self.foyer(at) {
-            let now = process.floor.house.script.clone();
+            let now = process.floor.house.state.clone();
             match old {
                 Some(old) if old.configuration_version() < now.configuration_version() => {
-                    process.floor.house.script = old
+                    process.floor.house.state = old
                 }
                 Some(old) => drop(self.old_scripts.insert(at, old)),
                 None => drop(self.old_scripts.insert(at, now)),
--- a/crates/rehearsal/src/world/operators.rs
+++ b/crates/rehearsal/src/world/operators.rs
@@ -216,7 +216,7 @@
     /// Whether a caller repeats a change since which two others have come into force here.
     pub(crate) fn is_old(&self, at: usize, caller: Caller) -> bool {
         let here = match &self.machines[at].process {
-            Some(Process::Prompter(process)) => process.control.house.script.configuration_version().0,
+            Some(Process::Prompter(process)) => process.control.node.state.configuration_version().0,
             _ => 0,
         };
         let Who::Task(number) = caller.who else { return false };
@@ -525,7 +525,7 @@
         }
         for machine in self.core() {
             let stands = match &self.machines[machine].process {
-                Some(Process::Prompter(process)) => process.control.house.script.configuration_version().0,
+                Some(Process::Prompter(process)) => process.control.node.state.configuration_version().0,
                 _ => continue,
             };
             self.saw(What::Stands { machine, version: stands });
--- a/crates/replication/tests/common/mod.rs
+++ b/crates/replication/tests/common/mod.rs
@@ -13,7 +13,7 @@
 
 /// Hubs of the usual world.
 pub const HUBS: usize = 5;
-/// How long a node is written to by stream once it was insisted on, as the nodes do it (`playhouse::paths`).
+/// How long a node is written to by stream once it was insisted on, as the nodes do it (`playhouse::carrier_selection`).
 const BY_STREAM: Micros = 5 * SECOND;
 /// As of a prompter that follows a leader, and of one that has met nobody since its start.
 pub const PROVED: Freshness = Freshness::Proven { term: Term(3), age: 800 * MS };
