--- a/crates/playhouse/src/control_plane.rs
+++ b/crates/playhouse/src/control_plane.rs
@@ -30,6 +30,7 @@
 const SAVE_DELAY: Micros = 100 * MS;
 /// The instances are saved at most once in this interval.
 const SAVE_INTERVAL: Micros = SECOND;
+/// How often a control node updates how fresh its state is and, while it leads, counts votes and proposes commands.
 const COUNT_INTERVAL: Micros = 200 * MS;
 /// Each call is answered within this, whatever happens: its caller leaves after a second, and the way there and back
 /// takes a part of that.
