--- a/crates/playhouse/src/commands/ledger.rs
+++ b/crates/playhouse/src/commands/ledger.rs
@@ -88,7 +88,7 @@
 
 impl TemporaryDirectory {
     fn create() -> Result<TemporaryDirectory, CommandError> {
-        let name = format!("playhouse-ledger-{}-{:x}", std::process::id(), crate::house::chance());
+        let name = format!("playhouse-ledger-{}-{:x}", std::process::id(), crate::node::random_u64());
         let path = std::env::temp_dir().join(name);
         fs::create_dir(&path).map_err(|error| CommandError::File { path: path.clone(), error })?;
         Ok(TemporaryDirectory(path))
@@ -165,7 +165,7 @@
             outcome @ CommandOutcome::UnsupportedFormat { .. } => {
                 return Err(store_error(
                     dir,
-                    format!("entry {}: {}", entry.index.0, crate::prompter::refusal(&outcome)),
+                    format!("entry {}: {}", entry.index.0, crate::control_node::refusal_text(&outcome)),
                 ));
             }
             _ => loaded.refused += 1,
@@ -374,7 +374,7 @@
     }
     let storage_error =
         |error: StorageError| CommandError::Process(format!("{}: {error}", to.display()).into());
-    let disk_id = RunId(crate::house::chance() | 1);
+    let disk_id = RunId(crate::node::random_u64() | 1);
     let store = DiskStore::open(to).map_err(|error| storage_error(error.into()))?;
     let (mut store, _) = LogStore::open(store, disk_id).map_err(storage_error)?;
     let term = Term(loaded.opened.state.term.0.max(loaded.last_term()) + NEW_CORE_OFFSET);
--- a/crates/playhouse/src/commands/mod.rs
+++ b/crates/playhouse/src/commands/mod.rs
@@ -22,7 +22,7 @@
 use simd_json::prelude::*;
 
 use crate::settings::{Settings, SettingsError};
-use crate::{demo, gateway, prompter};
+use crate::{control_node, demo, gateway};
 
 const EXIT_CODES: &str = "Exit codes: 0 success; 1 a check found a problem (faults, differences, damage, a roll-out that was \
 reverted) or a process failed; 2 the command line is wrong; 3 no clear answer from any machine; \
@@ -175,7 +175,7 @@
             gateway::run(read_settings(Role::Gateway)?, serve.metrics).await.map_err(terminated)
         }
         Command::ControlNode(serve) => {
-            prompter::run(read_settings(Role::ControlNode)?, serve.metrics).await.map_err(terminated)
+            control_node::run(read_settings(Role::ControlNode)?, serve.metrics).await.map_err(terminated)
         }
         Command::Check(check) => check.run(),
         Command::Config(config) => config.run().await,
--- a/crates/playhouse/src/commands/view.rs
+++ b/crates/playhouse/src/commands/view.rs
@@ -8,8 +8,8 @@
 use simd_json::prelude::*;
 use types::{Micros, SECOND};
 
-use crate::control::Control;
-use crate::house::House;
+use crate::control_plane::ControlPlane;
+use crate::node::NodeCore;
 
 /// Number of instances that are listed; the others are counted.
 const MAX_LISTED_INSTANCES: usize = 2048;
@@ -52,20 +52,20 @@
 }
 
 /// The status of the system as this control node sees it at `now`.
-pub fn status_json(control: &Control, disk: DiskHealth, now: Micros) -> OwnedValue {
-    let (house, raft) = (&control.house, control.book());
-    let voter = control.seat();
+pub fn status_json(control: &ControlPlane, disk: DiskHealth, now: Micros) -> OwnedValue {
+    let (house, raft) = (&control.node, control.raft());
+    let voter = control.voter_id();
     let voters: Vec<OwnedValue> = (raft.members().0.iter())
         .map(|voter| simd_json::json!({ "Place": voter.address.to_string(), "Life": run_id(voter.disk_id) }))
         .collect();
     let mut members = vec![member_json(house, now, &house.own, "alive")];
-    let others = house.company.members().filter(|(member, _)| member.address != house.own.address);
+    let others = house.membership.members().filter(|(member, _)| member.address != house.own.address);
     members.extend(others.map(|(one, status)| member_json(house, now, one, member_status(status))));
     let rollouts: Vec<OwnedValue> =
-        house.script.rollouts.values().map(|rollout| rollout_json(control, now, rollout)).collect();
+        house.state.rollouts.values().map(|rollout| rollout_json(control, now, rollout)).collect();
     let mut state_counts: BTreeMap<&str, [usize; 4]> = BTreeMap::new();
     let (mut instances, mut omitted) = (Vec::new(), 0);
-    for record in house.cast.instances() {
+    for record in house.registry.instances() {
         state_counts.entry(&record.service).or_default()[record.state as usize] += 1;
         if instances.len() < MAX_LISTED_INSTANCES {
             instances.push(instance_json(now, record));
@@ -85,14 +85,14 @@
             "Name": house.own.name.clone(), "Place": voter.address.to_string(), "Life": run_id(voter.disk_id),
             "Program": house.own.version.program.to_string(),
         },
-        "AgreedForm": house.script.agreed_format().0,
-        "WordsRefused": house.refused(),
+        "AgreedForm": house.state.agreed_format().0,
+        "WordsRefused": house.rejected_messages(),
         "Leads": raft.is_leader(),
         "Leader": raft.leader().map(|voter| voter.address.to_string()),
         "Term": raft.term().0,
         "LogCommitted": raft.commit_index().0,
-        "LogApplied": house.script.last_applied().0,
-        "ConfigVersion": house.script.configuration_version().to_string(),
+        "LogApplied": house.state.last_applied().0,
+        "ConfigVersion": house.state.configuration_version().to_string(),
         "Disk": { "WaitsS": disk.oldest_write_wait.map(seconds), "Fails": disk.failing },
         "Voters": voters,
         "Members": members,
@@ -103,18 +103,19 @@
     })
 }
 
-fn member_json(house: &House, now: Micros, member: &membership::Member, status: &str) -> OwnedValue {
+fn member_json(house: &NodeCore, now: Micros, member: &membership::Member, status: &str) -> OwnedValue {
     let role = match member.role {
         Role::Gateway => "foyer",
         Role::ControlNode => "prompter",
     };
-    let own_index = house.board.index().0;
-    let behind =
-        house.holds(member.address, RECENT_STATUS_WINDOW).map(|index| own_index.saturating_sub(index.0));
+    let own_index = house.replicator.index().0;
+    let behind = house
+        .replicated_index(member.address, RECENT_STATUS_WINDOW)
+        .map(|index| own_index.saturating_sub(index.0));
     simd_json::json!({
         "Name": member.name.clone(), "Place": member.address.to_string(), "Life": run_id(member.run_id), "Part": role,
         "Zone": member.zone.clone(), "Standing": status,
-        "SinceS": house.company.status_since(member.address).map(|since| seconds(now - since)),
+        "SinceS": house.membership.status_since(member.address).map(|since| seconds(now - since)),
         "Behind": behind, "Program": member.version.program.to_string(),
         "OldestForm": member.version.formats.oldest.0, "NewestForm": member.version.formats.newest.0,
     })
@@ -129,7 +130,7 @@
     }
 }
 
-fn rollout_json(control: &Control, now: Micros, rollout: &control_state::Rollout) -> OwnedValue {
+fn rollout_json(control: &ControlPlane, now: Micros, rollout: &control_state::Rollout) -> OwnedValue {
     let votes = control.votes(now, &rollout.service).map(|votes| {
         simd_json::json!({
             "On": votes.promote_votes, "Back": votes.roll_back_votes, "Trial": votes.trial_outcomes, "TrialFailed": votes.trial_failures,
--- a/crates/playhouse/src/data_plane/mod.rs
+++ b/crates/playhouse/src/data_plane/mod.rs
@@ -19,7 +19,7 @@
 use membership::Role;
 use types::{Carrier, MS, Micros, NodeAddress, SECOND};
 
-use crate::house::{Happened, House, Letter, Word};
+use crate::node::{Envelope, NodeCore, NodeEvent, NodeMessage};
 use crate::settings::{Settings, seconds_to_micros};
 use budgets::{GatewayCounts, RetryBudget};
 use control_state::CommandOutcome;
@@ -87,7 +87,7 @@
 pub enum Effect {
     Send {
         to: NodeAddress,
-        message: Letter,
+        message: Envelope,
     },
     /// Sends the request to an instance, over at most `max_connections` connections to it.
     StartAttempt {
@@ -122,7 +122,7 @@
 
 /// State machine of a gateway's data plane; see the module documentation.
 pub struct DataPlane {
-    pub node: House,
+    pub node: NodeCore,
     now: Rc<Cell<Micros>>,
     settings: Rc<Settings>,
     configuration: Option<Arc<Configuration>>,
@@ -162,8 +162,8 @@
 
 impl DataPlane {
     /// Starts without a configuration. `seed` determines every random choice of the balancers.
-    pub fn start(mut node: House, settings: Rc<Settings>, seed: u64, now: Micros) -> DataPlane {
-        node.cast.set_drain_limit(seconds_to_micros(settings.timer_bounds.drain_s));
+    pub fn start(mut node: NodeCore, settings: Rc<Settings>, seed: u64, now: Micros) -> DataPlane {
+        node.registry.set_drain_limit(seconds_to_micros(settings.timer_bounds.drain_s));
         let timer_bounds = &settings.timer_bounds;
         let budget_limits = BudgetLimits {
             retry_ratio: timer_bounds.retry_budget_ratio,
@@ -230,16 +230,16 @@
     pub fn ready(&self) -> bool {
         !self.leaving
             && self.opened
-            && self.node.unreadable().is_none()
+            && self.node.unreadable_entry().is_none()
             && self.intent_checker.as_ref().is_none_or(|checker| checker.ward.open())
     }
 
     /// Status of this gateway for operators and scripts.
     pub fn status(&self) -> simd_json::OwnedValue {
         let count_in = |state: registry::InstanceState| {
-            self.node.cast.instances().filter(|instance| instance.state == state).count() as u64
+            self.node.registry.instances().filter(|instance| instance.state == state).count() as u64
         };
-        let not_ready_because = match (self.leaving, &self.configuration, self.node.why_unreadable()) {
+        let not_ready_because = match (self.leaving, &self.configuration, self.node.unreadable_reason()) {
             (true, ..) => "it is leaving",
             (_, _, Some(reason)) => reason,
             (_, None, _) => "no configuration is known",
@@ -252,13 +252,13 @@
             "Program": self.node.own.version.program.to_string(),
             "OldestForm": self.node.own.version.formats.oldest.0,
             "NewestForm": self.node.own.version.formats.newest.0,
-            "AgreedForm": self.node.script.agreed_format().0,
-            "WordsRefused": self.node.refused(),
+            "AgreedForm": self.node.state.agreed_format().0,
+            "WordsRefused": self.node.rejected_messages(),
             "Ready": self.ready(),
             "NotReadyFor": not_ready_because,
             "ConfigVersion": self.configuration.as_ref().map(|configuration| configuration.version.to_string()),
-            "LogIndex": self.node.script.last_applied().0,
-            "Prompters": self.node.up(Role::ControlNode).len() as u64,
+            "LogIndex": self.node.state.last_applied().0,
+            "Prompters": self.node.live_peers(Role::ControlNode).len() as u64,
             "Foyers": self.gateways.len() as u64,
             "RequestsInHand": self.open_requests.len() as u64,
             "TurnedBack": self.rejected_count,
@@ -284,9 +284,9 @@
     /// shown to be fresh: otherwise a gateway that learns from a partitioned control node could serve a configuration
     /// that was replaced long ago.
     fn update_readiness(&mut self, now: Micros) {
-        self.freshness_proved = self.freshness_proved || self.node.proved();
+        self.freshness_proved = self.freshness_proved || self.node.is_fresh();
         let Some(configuration) = self.configuration.as_ref().filter(|_| !self.opened) else { return };
-        let registry = &self.node.cast;
+        let registry = &self.node.registry;
         let services_in_service: HashSet<&str> = registry
             .instances()
             .filter(|instance| instance.state == registry::InstanceState::InService)
@@ -337,7 +337,7 @@
             }
         }
         self.handle_node_events(now);
-        let messages = self.node.letters().into_iter();
+        let messages = self.node.take_envelopes().into_iter();
         let mut effects: Vec<Effect> = messages.map(|(to, message)| Effect::Send { to, message }).collect();
         effects.append(&mut self.effects);
         effects
@@ -367,24 +367,24 @@
     /// Handles the events of the shared node state.
     fn handle_node_events(&mut self, now: Micros) {
         let (mut changed, mut notify_checker) = (false, false);
-        while let Some(happened) = self.node.happened() {
+        while let Some(happened) = self.node.next_event() {
             match happened {
-                Happened::Applied { outcome: CommandOutcome::Applied, .. } | Happened::Restored => {
+                NodeEvent::Applied { outcome: CommandOutcome::Applied, .. } | NodeEvent::Restored => {
                     changed = true
                 }
                 // A rejected command changes nothing, but the log index advances.
-                Happened::Applied { .. } => notify_checker = true,
-                Happened::Peers => {
+                NodeEvent::Applied { .. } => notify_checker = true,
+                NodeEvent::PeersChanged => {
                     notify_checker = true;
                     changed |= self.peers_changed(now);
                 }
-                Happened::Instance(id) => self.instance_changed(&id),
+                NodeEvent::InstanceChanged(id) => self.instance_changed(&id),
                 // For control nodes only.
-                Happened::BeatTaken { .. }
-                | Happened::BeatNotTaken { .. }
-                | Happened::Book { .. }
-                | Happened::Vote { .. } => {}
-                Happened::Intent { from, word } => {
+                NodeEvent::HeartbeatAccepted { .. }
+                | NodeEvent::HeartbeatRejected { .. }
+                | NodeEvent::Consensus { .. }
+                | NodeEvent::Vote { .. } => {}
+                NodeEvent::Intent { from, message: word } => {
                     self.step_intent_checker(now, usher::Event::Word { from, word })
                 }
             }
@@ -401,7 +401,7 @@
     /// Updates this gateway's share of the budgets at once and schedules the rest. Returns true if the rest is to be
     /// recomputed now, because there is no configuration yet.
     fn peers_changed(&mut self, now: Micros) -> bool {
-        let gateways = self.node.up(Role::Gateway).len() + 1;
+        let gateways = self.node.live_peers(Role::Gateway).len() + 1;
         self.gateway_counts.record(now, gateways);
         self.retry_budget.borrow_mut().set_gateway_count(now, gateways);
         if self.configuration.is_some() {
@@ -413,7 +413,7 @@
     /// Recomputes everything that depends on the configuration, a roll-out, or the number of gateways.
     fn state_changed(&mut self, now: Micros) {
         self.membership_change_due = Micros::MAX;
-        let mut gateways = self.node.up(Role::Gateway);
+        let mut gateways = self.node.live_peers(Role::Gateway);
         gateways.push(self.node.own.address);
         gateways.sort_unstable();
         let index = gateways.iter().position(|address| *address == self.node.own.address).unwrap_or(0);
@@ -422,7 +422,7 @@
         self.gateway_counts.record(now, gateways.len());
         self.fleet.budget_share = self.gateway_counts.share_of(now, 1.0);
         self.retry_budget.borrow_mut().set_gateway_count(now, gateways.len());
-        self.configuration = self.node.script.configuration().cloned();
+        self.configuration = self.node.state.configuration().cloned();
         let Some(configuration) = self.configuration.clone() else { return };
         let exposure_cap = self.settings.timer_bounds.exposure_share;
         for service in configuration.services.keys() {
@@ -443,14 +443,14 @@
         }
         for service in self.services.keys().cloned().collect::<Vec<_>>() {
             let Some(host) = self.services.get_mut(&service) else { continue };
-            let rollout = self.node.script.rollouts.get(&*service);
+            let rollout = self.node.state.rollouts.get(&*service);
             let settled = rollout.is_some_and(|rollout| {
                 rollout.state_since - self.started_at >= MIN_UPTIME_WITHOUT_EARLIER_RUN
             });
             host.configuration_changed(&configuration, &self.fleet, settled);
             let share = connection_share(Some(&configuration), &service, gateways.len());
             host.set_share(share);
-            let instances = self.node.cast.instances().filter(|instance| *instance.service == *service);
+            let instances = self.node.registry.instances().filter(|instance| *instance.service == *service);
             let own_address = self.node.own.address;
             let instances = instances
                 .map(|instance| (instance, share.gateways_ahead(own_address, &gateways, &instance.id.0)));
@@ -467,7 +467,7 @@
         if self.intent_checker.is_none() {
             return;
         }
-        let (foyers, hubs) = (self.gateways.clone(), self.node.up(Role::ControlNode));
+        let (foyers, hubs) = (self.gateways.clone(), self.node.live_peers(Role::ControlNode));
         self.step_intent_checker(now, usher::Event::Peers { foyers, hubs });
         if let Some(taken) = self.node.intent() {
             self.step_intent_checker(now, usher::Event::Taken(Arc::new(taken)));
@@ -479,7 +479,7 @@
 
     /// The intent in force, read back from the tables that requests are handled by.
     fn intent_in_force(&self) -> Option<Arc<Intent>> {
-        let state = &self.node.script;
+        let state = &self.node.state;
         Some(Arc::new(Intent::read(
             state.last_applied(),
             self.configuration.as_ref()?,
@@ -491,7 +491,7 @@
         let Some(checker) = &mut self.intent_checker else { return };
         for effect in checker.step(now, event) {
             match effect {
-                usher::Effect::Send { to, word } => self.node.send(to, Word::Intent(word)),
+                usher::Effect::Send { to, word } => self.node.send(to, NodeMessage::Intent(word)),
                 usher::Effect::ReadBack { to, nonce } => {
                     if let Some(tables) = self.intent_in_force() {
                         self.step_intent_checker(now, usher::Event::ReadBack { to, nonce, tables });
@@ -510,7 +510,7 @@
     }
 
     fn instance_changed(&mut self, id: &registry::InstanceId) {
-        let Some(instance) = self.node.cast.get(id) else { return };
+        let Some(instance) = self.node.registry.get(id) else { return };
         let warmup = instance.warm_at - instance.first_seen;
         if warmup > self.fleet.longest_warmup {
             self.fleet.longest_warmup = warmup.min(MAX_WARMUP);
@@ -520,7 +520,7 @@
         let gateways_ahead = share.gateways_ahead(self.node.own.address, &self.gateways, &instance.id.0);
         host.instances_changed(
             [(instance, gateways_ahead)].into_iter(),
-            self.node.script.rollouts.get(&instance.service),
+            self.node.state.rollouts.get(&instance.service),
         );
         let service = host.service.clone();
         self.with_service(&service, |_| {});
@@ -666,9 +666,9 @@
         if votes.is_empty() {
             return;
         }
-        for place in self.node.up(Role::ControlNode) {
+        for place in self.node.live_peers(Role::ControlNode) {
             for vote in &votes {
-                self.node.send(place, Word::Vote(vote.clone()));
+                self.node.send(place, NodeMessage::Vote(vote.clone()));
             }
         }
     }
--- a/crates/playhouse/src/gateway/activity.rs
+++ b/crates/playhouse/src/gateway/activity.rs
@@ -12,7 +12,7 @@
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
 use types::Micros;
 
-use crate::house::Clock;
+use crate::node::Clock;
 
 /// How long, and for how many bytes, input that a client still sends is read and dropped after its answer. Closing a
 /// socket with unread bytes would reset the connection and could lose the answer.
--- a/crates/playhouse/src/gateway/attempt.rs
+++ b/crates/playhouse/src/gateway/attempt.rs
@@ -19,7 +19,7 @@
 use super::body_budget::BodyReservation;
 use super::pool::{self, Body, BodyError, Connection, Pool};
 use crate::data_plane::service_host::TargetInstance;
-use crate::house::Clock;
+use crate::node::Clock;
 
 /// Identifies the request; the instance repeats it in its answer.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
--- a/crates/playhouse/src/gateway/frontend.rs
+++ b/crates/playhouse/src/gateway/frontend.rs
@@ -341,7 +341,7 @@
         return Some(&only.service);
     }
     let total_weight: f64 = route.targets.iter().map(|target| target.weight).sum();
-    let mut draw = (crate::house::chance() >> 11) as f64 / (1u64 << 53) as f64 * total_weight;
+    let mut draw = (crate::node::random_u64() >> 11) as f64 / (1u64 << 53) as f64 * total_weight;
     for target in &route.targets {
         if draw < target.weight {
             return Some(&target.service);
--- a/crates/playhouse/src/gateway/mod.rs
+++ b/crates/playhouse/src/gateway/mod.rs
@@ -29,9 +29,9 @@
 
 use crate::data_plane::service_host::TargetInstance;
 use crate::data_plane::{DataPlane, Effect, Input};
-use crate::house::{Clock, House, chance};
 use crate::metrics::{self, Metrics, MetricsSource};
-use crate::post::send;
+use crate::node::{Clock, NodeCore, random_u64};
+use crate::outgoing::send;
 use crate::settings::{Settings, seconds_to_micros};
 use crate::signals::{SignalEvent, Signals};
 use attempt::{Attempt, AttemptResult, ReplayableRequest};
@@ -105,17 +105,17 @@
         transport::TransportLimits::default(),
     )?;
     let now = clock.now();
-    let member = settings.member(Role::Gateway, RunId(chance()));
-    let node = House::start(
+    let member = settings.member(Role::Gateway, RunId(random_u64()));
+    let node = NodeCore::start(
         member,
         settings.seed_addresses(),
         seconds_to_micros(settings.heartbeat_s),
-        chance(),
+        random_u64(),
         now,
     );
     let wake_loop = Rc::new(tokio::sync::Notify::new());
     let gateway = Gateway {
-        data_plane: DataPlane::start(node, settings.clone(), chance(), now),
+        data_plane: DataPlane::start(node, settings.clone(), random_u64(), now),
         transport: Rc::new(transport),
         clock,
         settings: settings.clone(),
--- a/crates/playhouse/src/metrics.rs
+++ b/crates/playhouse/src/metrics.rs
@@ -18,7 +18,7 @@
 use prometheus_client::registry::Registry;
 use transport::TransportStats;
 
-use crate::house::House;
+use crate::node::NodeCore;
 
 const PATH: &str = "/metrics";
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -31,9 +31,9 @@
 
 impl Metrics {
     /// The metrics that gateways and control nodes have in common.
-    pub fn for_node(node: &House, stats: TransportStats) -> Metrics {
+    pub fn for_node(node: &NodeCore, stats: TransportStats) -> Metrics {
         let mut metrics = Metrics(Registry::with_prefix("garnetdoor"));
-        let replication = node.board.stats();
+        let replication = node.replicator.stats();
         metrics.gauge("news_held_index", "Last ordered command held here", replication.held_index.0);
         metrics.gauge("news_known_index", "Newest ordered command heard of", replication.known_index.0);
         metrics.counter("news_asks", "Asks for missing commands", replication.pulls);
@@ -47,8 +47,8 @@
             "Longest time behind",
             replication.longest_gap.max(0) as u64,
         );
-        let watches = node.board.watch_stats();
-        if let Some(age) = node.news_age() {
+        let watches = node.replicator.watch_stats();
+        if let Some(age) = node.state_age() {
             metrics.gauge("news_age_micros", "Age of what is held, as proved", age as u64);
         }
         metrics.counter(
@@ -61,19 +61,23 @@
             "Control machines left as their news was old",
             watches.dropped_stale,
         );
-        metrics.gauge("watchers", "Gateways that watch this control machine", node.watchers() as u64);
-        metrics.gauge("watchers_held_dead", "Of these, held dead here", node.watchers_held_dead() as u64);
-        metrics.counter("commands_not_taken", "Commands that changed nothing", node.not_taken());
-        metrics.counter("words_refused", "Messages of forms not read here", node.refused());
-        metrics.gauge("control_machines_up", "Others, as seen here", node.up(Role::ControlNode).len() as u64);
-        metrics.gauge("gateways_up", "Others, as seen here", node.up(Role::Gateway).len() as u64);
-        metrics.counter("members_declared_dead", "Members held dead, in turn", node.declared_dead());
+        metrics.gauge("watchers", "Gateways that watch this control machine", node.watcher_count() as u64);
+        metrics.gauge("watchers_held_dead", "Of these, held dead here", node.dead_watcher_count() as u64);
+        metrics.counter("commands_not_taken", "Commands that changed nothing", node.ineffective_commands());
+        metrics.counter("words_refused", "Messages of forms not read here", node.rejected_messages());
+        metrics.gauge(
+            "control_machines_up",
+            "Others, as seen here",
+            node.live_peers(Role::ControlNode).len() as u64,
+        );
+        metrics.gauge("gateways_up", "Others, as seen here", node.live_peers(Role::Gateway).len() as u64);
+        metrics.counter("members_declared_dead", "Members held dead, in turn", node.members_declared_dead());
         metrics.counter("datagrams_sent", "Datagrams given to the system", stats.datagrams_sent);
         metrics.counter("datagrams_refused", "Datagrams not taken by the system", stats.datagrams_refused);
         metrics.counter("datagrams_received", "Datagrams received", stats.datagrams_received);
         metrics.counter("datagrams_dropped", "Datagrams dropped for want of room", stats.datagrams_dropped);
-        metrics.gauge("peers_by_stream", "Nodes not left to datagrams now", node.streams() as u64);
-        metrics.gauge("link_strained", "Own datagrams seem to be lost", u64::from(node.strained()));
+        metrics.gauge("peers_by_stream", "Nodes not left to datagrams now", node.stream_peer_count() as u64);
+        metrics.gauge("link_strained", "Own datagrams seem to be lost", u64::from(node.link_degraded()));
         metrics.counter("stream_messages_sent", "Messages queued for streams", stats.stream_messages_sent);
         metrics
     }
--- a/crates/playhouse/tests/exchange.rs
+++ b/crates/playhouse/tests/exchange.rs
@@ -25,7 +25,7 @@
 use playhouse::gateway::body_budget::BodyBudget;
 use playhouse::gateway::connection_state::{ConnectionState, ExchangeEnd, SocketState};
 use playhouse::gateway::pool::{BodyError, Pool};
-use playhouse::house::Clock;
+use playhouse::node::Clock;
 use registry::InstanceId;
 use types::{MS, Micros, SECOND};
 
--- a/crates/playhouse/tests/foyer_parts.rs
+++ b/crates/playhouse/tests/foyer_parts.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use playhouse::gateway::activity::{Activity, NextAction};
 use playhouse::gateway::body_budget::{BODY_MEMORY_SHARE, BodyBudget};
-use playhouse::house::Clock;
+use playhouse::node::Clock;
 
 #[test]
 fn a_body_reservation_is_returned_with_the_last_slice_of_the_body() {
--- a/crates/rehearsal/src/world/foyer.rs
+++ b/crates/rehearsal/src/world/foyer.rs
@@ -7,7 +7,7 @@
 use garnetdoor::host::{AttemptNo, AttemptOutcome, RequestId};
 use playhouse::data_plane::service_host::TargetInstance as Target;
 use playhouse::data_plane::{DataPlane, Effect, Input};
-use playhouse::house::Word;
+use playhouse::node::NodeMessage;
 use types::{MS, Micros, RunId, SECOND};
 
 use super::instances::Trip;
@@ -67,7 +67,7 @@
         for what in out {
             match what {
                 Effect::Send { to, message: word } => {
-                    let mute = self.planted == Some(Planted::NoCap) && matches!(*word, Word::Vote(_));
+                    let mute = self.planted == Some(Planted::NoCap) && matches!(*word, NodeMessage::Vote(_));
                     if !mute {
                         self.send(at, to, &word);
                     }
@@ -388,10 +388,10 @@
         let at = self.scenario.prompters;
         let old = self.old_scripts.remove(&at);
         if let Some(process) = self.foyer(at) {
-            let now = process.floor.node.script.clone();
+            let now = process.floor.node.state.clone();
             match old {
                 Some(old) if old.configuration_version() < now.configuration_version() => {
-                    process.floor.node.script = old
+                    process.floor.node.state = old
                 }
                 Some(old) => drop(self.old_scripts.insert(at, old)),
                 None => drop(self.old_scripts.insert(at, now)),
--- a/crates/replication/tests/common/mod.rs
+++ b/crates/replication/tests/common/mod.rs
@@ -13,7 +13,7 @@
 
 /// Sources of the usual cluster. Sources are the nodes from 1 on, followers the nodes after them.
 pub const SOURCES: usize = 5;
-/// How long a node is written to by stream after `Effect::PreferStream`, as the nodes do it (`playhouse::paths`).
+/// How long a node is written to by stream after `Effect::PreferStream`, as the nodes do it (`playhouse::carrier_selection`).
 const STREAM_PREFERRED_FOR: Micros = 5 * SECOND;
 /// Largest message that travels as a datagram.
 const DATAGRAM_BYTES_MAX: usize = 1_100;
