--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -37,7 +37,7 @@
     /// Days that are played at once.
     #[arg(long, default_value_t = 1)]
     threads: usize,
-    /// Plant a fault, by its name in docs/rehearsal.md, which the rules must find.
+    /// Plant a fault, by its name in docs/simulation.md, which the rules must find.
     #[arg(long, value_name = "NAME")]
     planted: Option<String>,
     /// Look for every planted fault from the first seed on, and tell after how many seeds each is found.
--- a/crates/rehearsal/src/widen.rs
+++ b/crates/rehearsal/src/widen.rs
@@ -1,5 +1,5 @@
 //! Widen (days nobody has seen): other deployments, bounds and services, and troubles that meet. Shares are told
-//! in docs/rehearsal.md.
+//! in docs/simulation.md.
 
 use crate::scenario::{Draw, Harm, Odd, Scenario, What};
 use crate::site::{Empty, Kinds, Site};
--- a/crates/understudy/src/lib.rs
+++ b/crates/understudy/src/lib.rs
@@ -1,5 +1,5 @@
 //! Understudy (guided fuzzing): plays every reader of bytes with inputs that are sound in part, keeps what shows
-//! something new, and changes that further. No I/O, no clock: the same seed plays the same. `docs/understudy.md`
+//! something new, and changes that further. No I/O, no clock: the same seed plays the same. `docs/fuzzing.md`
 //! tells the ways that were weighed and what was found.
 
 pub mod play;
--- a/crates/understudy/tests/guided.rs
+++ b/crates/understudy/tests/guided.rs
@@ -178,7 +178,7 @@
     Bounds { inputs, bytes: 4_096, corpus: 1_024 }
 }
 
-/// As many inputs with and without guidance, from the same sound ones. What is measured stands in docs/understudy.md.
+/// As many inputs with and without guidance, from the same sound ones. What is measured stands in docs/fuzzing.md.
 #[test]
 fn guided_play_breaks_nothing_and_sees_more_than_spoiling() {
     let both = each(|target| {
--- a/fuzz/src/lib.rs
+++ b/fuzz/src/lib.rs
@@ -1,5 +1,5 @@
 //! Long runs by hand, guided by the compiler's coverage: each target of `understudy`, with its own changes by shape
-//! beside libFuzzer's. See `docs/understudy.md`.
+//! beside libFuzzer's. See `docs/fuzzing.md`.
 
 pub use libfuzzer_sys;
 use oorandom::Rand64;
