--- a/crates/control-state/src/outcome.rs
+++ b/crates/control-state/src/outcome.rs
@@ -46,16 +46,16 @@
 }
 
 /// Why a snapshot was not restored. The state is left unchanged.
+///
+/// The texts stand in log lines and on operators' pages; they keep the older words "kept state" and "form".
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    #[error("the snapshot cannot be decoded")]
+    #[error("the kept state cannot be read")]
     Unreadable,
-    #[error("the snapshot's format {0} is not supported")]
+    #[error("the kept state's form {0} is not known here")]
     UnsupportedFormat(u8),
-    #[error("the snapshot's configuration has faults: {0}")]
+    #[error("the kept configuration has faults: {0}")]
     Configuration(Faults),
-    #[error(
-        "the snapshot is of entry {snapshot_index}, older than the current state at entry {current_index}"
-    )]
+    #[error("the kept state is of entry {snapshot_index}, older than entry {current_index} here")]
     Older { snapshot_index: u64, current_index: u64 },
 }
